--- a/crates/trestle-core/examples/scale.rs
+++ b/crates/trestle-core/examples/scale.rs
@@ -1,4 +1,4 @@
-//! Prints how the work of one daemon's control grows with the size of a deployment.
+//! Prints how the cost of one daemon's control state grows with the size of a deployment.
 //!
 //! `cargo run --release -p trestle-core --example scale`
 
@@ -14,7 +14,7 @@
     timing::Timing,
 };
 
-/// Sizes at which each figure is taken: engines, daemons, models.
+/// Sizes at which each figure is measured: engines, daemons, models.
 const SIZES: [(usize, usize, usize); 4] =
     [(9, 7, 50), (960, 46, 210), (3_850, 185, 210), (7_700, 370, 210)];
 const DOMAINS: usize = 6;
@@ -35,7 +35,7 @@
         let started = Instant::now();
         let second = changed.at_version(2, &first);
         let one = started.elapsed();
-        let (tick_us, read_us, owned) = control(Arc::new(second), daemons);
+        let (tick_us, read_us, owned) = measure_control(Arc::new(second), daemons);
         println!(
             "{engines:5} {daemons:4} {models:4}: {:8.2} ms, {:6.3} ms | {tick_us:6.1} us with \
              {owned} endpoints | {read_us:6.1} us",
@@ -75,47 +75,47 @@
     }
 }
 
-/// Time of a tick and of a membership read, and the endpoints that are owned.
-fn control(catalog: Arc<Catalog>, daemons: usize) -> (f64, f64, usize) {
-    let me = "vm-0";
+/// Returns the time of a tick and of a membership read, and the number of owned endpoints.
+fn measure_control(catalog: Arc<Catalog>, daemons: usize) -> (f64, f64, usize) {
+    let own_vm = "vm-0";
     let member = |index: usize| {
         let member =
             Member { address: format!("10.0.0.{index}"), incarnation: 1, is_adopter: false };
         (format!("vm-{index}").into(), member)
     };
     let members: BTreeMap<_, _> = (0..daemons.div_ceil(DOMAINS)).map(member).collect();
-    let own = members[me].clone();
+    let own = members[own_vm].clone();
     let row = MembershipRow { epoch: 1, members, ..MembershipRow::default() };
     let read: Rows = BTreeMap::from([(
         RowKey::Membership("domain-0".into()),
         Versioned { version: 1, row: Some(Row::Membership(row)) },
     )]);
-    let mut node = ControlState::new(me.into(), own, "domain-0".into(), Timing::default());
+    let mut control = ControlState::new(own_vm.into(), own, "domain-0".into(), Timing::default());
     let mut events = vec![
         Event::Catalog(Arc::clone(&catalog)),
         Event::Read(ReadPurpose::Membership, Some(read.clone())),
     ];
     let mut now_ms = 0;
     while let Some(event) = events.pop() {
-        let actions = node.handle(event, now_ms);
+        let actions = control.handle(event, now_ms);
         events.extend(actions.into_iter().filter_map(|action| answer(action, &catalog)));
     }
     let started = Instant::now();
     for _ in 0..TICKS {
         now_ms += TICK_MS;
-        for action in node.handle(Event::Tick, now_ms) {
+        for action in control.handle(Event::Tick, now_ms) {
             if let Some(event) = answer(action, &catalog) {
-                node.handle(event, now_ms);
+                control.handle(event, now_ms);
             }
         }
     }
     let tick_us = started.elapsed().as_secs_f64() * 1e6 / TICKS as f64;
     let started = Instant::now();
     for _ in 0..TICKS {
-        node.handle(Event::Read(ReadPurpose::Membership, Some(read.clone())), now_ms);
+        control.handle(Event::Read(ReadPurpose::Membership, Some(read.clone())), now_ms);
     }
     let read_us = started.elapsed().as_secs_f64() * 1e6 / TICKS as f64;
-    let owned = node
+    let owned = control
         .chain_positions()
         .values()
         .filter(|position| position.owned_endpoint().is_some())
@@ -123,15 +123,15 @@
     (tick_us, read_us, owned)
 }
 
-/// What a platform and engines without faults answer.
+/// Returns the answer of a platform and of engines without faults.
 fn answer(action: Action, catalog: &Catalog) -> Option<Event> {
     match action {
         Action::Read(ReadPurpose::Placements { epoch }, keys) => {
-            let rows = keys.into_iter().map(|key| (key, placed(catalog))).collect();
+            let rows = keys.into_iter().map(|key| (key, full_endpoint_row(catalog))).collect();
             Some(Event::Read(ReadPurpose::Placements { epoch }, Some(rows)))
         }
         Action::Read(ReadPurpose::Review, keys) => {
-            let full = keys.into_iter().map(|key| (key, placed(catalog))).collect();
+            let full = keys.into_iter().map(|key| (key, full_endpoint_row(catalog))).collect();
             Some(Event::Read(ReadPurpose::Review, Some(full)))
         }
         Action::Commit(CommitPurpose::Renewal, _) => {
@@ -145,7 +145,7 @@
     }
 }
 
-fn placed(catalog: &Catalog) -> Versioned {
+fn full_endpoint_row(catalog: &Catalog) -> Versioned {
     let placement = || Placement { memory_bytes: 20, retiring: None };
     let models = catalog.models.keys().take(16);
     let placed = models.map(|model| (model.clone(), placement())).collect();
--- a/crates/trestle-core/src/load_limiter.rs
+++ b/crates/trestle-core/src/load_limiter.rs
@@ -4,7 +4,7 @@
 //! urgent loads then wait with the others. So each daemon limits its concurrent loads and
 //! starts the most urgent ones first.
 //!
-//! Daemons do not tell each other how many loads they run. A load that took about as long as
+//! Daemons do not exchange how many loads they run. A load that took about as long as
 //! declared indicates spare capacity and raises the limit by one; a load that took much longer
 //! halves it. The limit protects speed, not safety, so a wrong limit does no lasting harm.
 
--- a/crates/trestle-core/src/membership.rs
+++ b/crates/trestle-core/src/membership.rs
@@ -109,7 +109,7 @@
         self.leaving = true;
     }
 
-    /// Returns whether this daemon was told to leave and the row shows that it has left.
+    /// Returns whether this daemon has been asked to leave and the row shows that it has left.
     pub fn has_left(&self) -> bool {
         self.leaving && !self.is_member()
     }
--- a/crates/trestle-core/tests/claims.rs
+++ b/crates/trestle-core/tests/claims.rs
@@ -1,130 +1,133 @@
-//! All states that two attempts at one call can reach, with kills between any
-//! two steps, lost answers, and writes that take effect long after they were given
-//! up.
+//! Exhaustive search of the states that two attempts at one call can reach, with a crash between
+//! any two steps, lost answers, and writes that take effect long after the writer stopped waiting.
+//! Guards against a second run of a call and against a false report to the caller.
 
 use std::collections::BTreeSet;
 use trestle_core::claim::{Attempt, ClaimEvent, ClaimRow, ClaimState, End, Recorded, Step};
 
 const NAMES: [&str; 2] = ["first", "second"];
-/// Claims that may be under way at once after they were given up on.
+/// Maximum number of claims whose writers stopped waiting and that may still take effect.
 const MAX_DELAYED: usize = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Stored {
+enum StoredState {
     Claimed(usize),
     NotRun,
     Answered,
 }
 
 #[derive(Clone, Debug)]
-struct Runner {
+struct Worker {
     attempt: Attempt,
-    /// `None` once it has ended or was killed.
+    /// Next step; `None` once the attempt has ended or crashed.
     step: Option<Step>,
     has_read: bool,
     has_sent: bool,
-    /// Runs of the call when the attempt decided to record that it was not run.
+    /// Number of runs of the call when the attempt decided to record it as not run.
     runs_when_recorded: Option<u32>,
 }
 
-/// One moment of a run.
+/// State of the search: the row, both attempts and the delayed writes.
 #[derive(Clone, Debug)]
-struct Moment {
+struct Snapshot {
     version: u64,
-    row: Option<Stored>,
-    runners: [Runner; 2],
-    /// Claims that were given up on and may still take effect.
+    row: Option<StoredState>,
+    workers: [Worker; 2],
+    /// Claims whose writers stopped waiting and that may still take effect.
     delayed: Vec<(usize, u64)>,
     runs: u32,
 }
 
 #[derive(Default)]
-struct Found {
-    moments: BTreeSet<String>,
+struct Explored {
+    snapshots: BTreeSet<String>,
     ends: BTreeSet<String>,
 }
 
 #[test]
-fn no_interleaving_runs_a_call_twice_or_lies() {
+fn no_interleaving_runs_a_call_twice_or_reports_a_false_outcome() {
     for second_is_repeated in [false, true] {
-        let runner = |name: &str, is_repeated| {
+        let worker = |name: &str, is_repeated| {
             let attempt = Attempt::new(name.to_owned(), is_repeated);
             let step = Some(attempt.first());
-            Runner { attempt, step, has_read: false, has_sent: false, runs_when_recorded: None }
+            Worker { attempt, step, has_read: false, has_sent: false, runs_when_recorded: None }
         };
-        let start = Moment {
+        let start = Snapshot {
             version: 0,
             row: None,
-            runners: [runner(NAMES[0], false), runner(NAMES[1], second_is_repeated)],
+            workers: [worker(NAMES[0], false), worker(NAMES[1], second_is_repeated)],
             delayed: Vec::new(),
             runs: 0,
         };
-        let mut found = Found::default();
-        explore(start, &mut found);
-        assert!(found.moments.len() > 1_000, "only {} moments", found.moments.len());
+        let mut explored = Explored::default();
+        explore(start, &mut explored);
+        assert!(explored.snapshots.len() > 1_000, "only {} states", explored.snapshots.len());
         for end in [End::Answered, End::Replayed, End::NotRun, End::Unknown] {
-            assert!(found.ends.contains(&format!("{end:?}")), "no run ends with {end:?}");
+            assert!(explored.ends.contains(&format!("{end:?}")), "no run ends with {end:?}");
         }
     }
 }
 
-/// Goes on from a moment in every way, unless it was seen before.
-fn explore(moment: Moment, found: &mut Found) {
-    if !found.moments.insert(format!("{moment:?}")) {
+/// Follows every continuation of a state that was not visited before.
+fn explore(snapshot: Snapshot, explored: &mut Explored) {
+    if !explored.snapshots.insert(format!("{snapshot:?}")) {
         return;
     }
-    for index in 0..moment.delayed.len() {
-        let mut next = moment.clone();
-        let (runner, version) = next.delayed.remove(index);
-        write_claim(&mut next, runner, version);
-        explore(next, found);
+    for index in 0..snapshot.delayed.len() {
+        let mut next = snapshot.clone();
+        let (worker, version) = next.delayed.remove(index);
+        write_claim(&mut next, worker, version);
+        explore(next, explored);
     }
-    for runner in 0..NAMES.len() {
-        let Some(step) = moment.runners[runner].step.clone() else { continue };
-        let mut killed = moment.clone();
-        killed.runners[runner].step = None;
-        explore(killed, found);
-        for (mut next, event) in outcomes(&moment, runner, &step) {
-            let after = next.runners[runner].attempt.next(event);
-            check(&mut next, runner, &after);
+    for worker in 0..NAMES.len() {
+        let Some(step) = snapshot.workers[worker].step.clone() else { continue };
+        let mut killed = snapshot.clone();
+        killed.workers[worker].step = None;
+        explore(killed, explored);
+        for (mut next, event) in outcomes(&snapshot, worker, &step) {
+            let after = next.workers[worker].attempt.next(event);
+            check(&mut next, worker, &after);
             if let Step::End(end) = &after {
-                found.ends.insert(format!("{end:?}"));
+                explored.ends.insert(format!("{end:?}"));
             }
-            next.runners[runner].step = Some(after).filter(|step| !matches!(step, Step::End(_)));
-            explore(next, found);
+            next.workers[worker].step = Some(after).filter(|step| !matches!(step, Step::End(_)));
+            explore(next, explored);
         }
     }
 }
 
-/// What is told must be true, and a second run must never be.
+/// Checks that the call ran at most once and that a report to the caller is true.
 ///
-/// An attempt that records the call as not run gives the claim back, so another
-/// may run it before the caller is told; what counts is the moment of the decision.
-fn check(moment: &mut Moment, runner: usize, after: &Step) {
-    assert!(moment.runs <= 1, "the call ran twice: {moment:?}");
+/// An attempt that records the call as not run releases the claim, so another attempt may run the
+/// call before the caller gets the report. The report is judged by the moment of the decision.
+fn check(snapshot: &mut Snapshot, worker: usize, after: &Step) {
+    assert!(snapshot.runs <= 1, "the call ran twice: {snapshot:?}");
     if *after == Step::Record(Recorded::NotRun) {
-        moment.runners[runner].runs_when_recorded = Some(moment.runs);
+        snapshot.workers[worker].runs_when_recorded = Some(snapshot.runs);
     }
     if *after == Step::End(End::NotRun) {
-        let told = &moment.runners[runner];
-        let runs = told.runs_when_recorded.unwrap_or(moment.runs);
-        assert!(!told.has_sent, "{} says not run after it has sent", NAMES[runner]);
-        assert!(!told.has_read || runs == 0, "a call that ran is told not run: {moment:?}");
+        let reported = &snapshot.workers[worker];
+        let runs = reported.runs_when_recorded.unwrap_or(snapshot.runs);
+        assert!(!reported.has_sent, "{} reports not run after it has sent the call", NAMES[worker]);
+        assert!(
+            !reported.has_read || runs == 0,
+            "a call that ran is reported as not run: {snapshot:?}"
+        );
     }
 }
 
-/// Everything that may come of a step.
-fn outcomes(moment: &Moment, runner: usize, step: &Step) -> Vec<(Moment, ClaimEvent)> {
-    let unchanged = |event: ClaimEvent| (moment.clone(), event);
+/// Returns every possible outcome of a step.
+fn outcomes(snapshot: &Snapshot, worker: usize, step: &Step) -> Vec<(Snapshot, ClaimEvent)> {
+    let unchanged = |event: ClaimEvent| (snapshot.clone(), event);
     match step {
-        Step::Read => vec![read(moment, runner), unchanged(ClaimEvent::ReadFailed)],
-        Step::Wait => vec![read(moment, runner), unchanged(ClaimEvent::Deadline)],
+        Step::Read => vec![read(snapshot, worker), unchanged(ClaimEvent::ReadFailed)],
+        Step::Wait => vec![read(snapshot, worker), unchanged(ClaimEvent::Deadline)],
         Step::Claim { version } => {
-            let mut written = moment.clone();
-            let is_written = write_claim(&mut written, runner, *version);
+            let mut written = snapshot.clone();
+            let is_written = write_claim(&mut written, worker, *version);
             let answer = if is_written { ClaimEvent::Claimed } else { ClaimEvent::Conflict };
-            let mut delayed = moment.clone();
-            delayed.delayed.push((runner, *version));
+            let mut delayed = snapshot.clone();
+            delayed.delayed.push((worker, *version));
             let mut outcomes = vec![
                 (written.clone(), answer),
                 (written, ClaimEvent::ClaimUnknown),
@@ -136,9 +139,9 @@
             outcomes
         }
         Step::Send => {
-            let mut sent = moment.clone();
+            let mut sent = snapshot.clone();
             sent.runs += 1;
-            sent.runners[runner].has_sent = true;
+            sent.workers[worker].has_sent = true;
             vec![
                 (sent.clone(), ClaimEvent::Answer),
                 (sent, ClaimEvent::AnswerLost),
@@ -146,44 +149,46 @@
             ]
         }
         Step::Record(recorded) => {
-            let mut written = moment.clone();
-            write_record(&mut written, runner, *recorded);
+            let mut written = snapshot.clone();
+            write_record(&mut written, worker, *recorded);
             vec![(written, ClaimEvent::Recorded), unchanged(ClaimEvent::Recorded)]
         }
         Step::End(_) => Vec::new(),
     }
 }
 
-fn read(moment: &Moment, runner: usize) -> (Moment, ClaimEvent) {
-    let state = match &moment.row {
-        None | Some(Stored::NotRun) => ClaimState::Free,
-        Some(Stored::Claimed(holder)) => ClaimState::Claimed { attempt: NAMES[*holder].to_owned() },
-        Some(Stored::Answered) => ClaimState::Answered,
+fn read(snapshot: &Snapshot, worker: usize) -> (Snapshot, ClaimEvent) {
+    let state = match &snapshot.row {
+        None | Some(StoredState::NotRun) => ClaimState::Free,
+        Some(StoredState::Claimed(holder)) => {
+            ClaimState::Claimed { attempt: NAMES[*holder].to_owned() }
+        }
+        Some(StoredState::Answered) => ClaimState::Answered,
     };
-    let mut next = moment.clone();
-    next.runners[runner].has_read = true;
-    (next, ClaimEvent::Read(ClaimRow { version: moment.version, state, same_call: true }))
+    let mut next = snapshot.clone();
+    next.workers[worker].has_read = true;
+    (next, ClaimEvent::Read(ClaimRow { version: snapshot.version, state, same_call: true }))
 }
 
-fn write_claim(moment: &mut Moment, runner: usize, version: u64) -> bool {
-    if moment.version != version {
+fn write_claim(snapshot: &mut Snapshot, worker: usize, version: u64) -> bool {
+    if snapshot.version != version {
         return false;
     }
-    moment.version += 1;
-    moment.row = Some(Stored::Claimed(runner));
+    snapshot.version += 1;
+    snapshot.row = Some(StoredState::Claimed(worker));
     true
 }
 
-/// Writes over the attempt's own claim, or over a row that holds none.
-fn write_record(moment: &mut Moment, runner: usize, recorded: Recorded) {
-    match &moment.row {
-        Some(Stored::Claimed(holder)) if *holder != runner => return,
-        Some(Stored::Answered) => return,
+/// Records an outcome over the attempt's own claim, or over a row without a claim.
+fn write_record(snapshot: &mut Snapshot, worker: usize, recorded: Recorded) {
+    match &snapshot.row {
+        Some(StoredState::Claimed(holder)) if *holder != worker => return,
+        Some(StoredState::Answered) => return,
         _ => {}
     }
-    moment.version += 1;
-    moment.row = Some(match recorded {
-        Recorded::NotRun => Stored::NotRun,
-        Recorded::Answered => Stored::Answered,
+    snapshot.version += 1;
+    snapshot.row = Some(match recorded {
+        Recorded::NotRun => StoredState::NotRun,
+        Recorded::Answered => StoredState::Answered,
     });
 }
--- a/crates/trestle-core/tests/interleavings.rs
+++ b/crates/trestle-core/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Real nodes in a small simulation, with faults alone and in pairs, under a virtual
-//! clock and random interleavings. Each seed is one run; the same seed gives the
+//! Control states of several daemons under single faults, pairs of faults and all faults, with
+//! random interleavings and a virtual clock. Each seed is one run; the same seed always gives the
 //! same run.
 
 mod simulation;
@@ -11,10 +11,10 @@
     [("a-1", "a"), ("a-2", "a"), ("a-3", "a"), ("b-1", "b"), ("b-2", "b")];
 const ENGINES: [&str; 3] = ["a1", "a2", "b1"];
 const MODELS: [&str; 5] = ["m1", "m2", "m3", "m4", "m5"];
-/// Steps of a run, each with some requests and perhaps a fault.
+/// Number of steps of a run. Each step sends a few requests and may start a fault.
 const STEPS: u64 = 120;
 
-/// A kind of fault that a run may have.
+/// Kind of fault that a run may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     Kill,
@@ -87,25 +87,26 @@
     }
 }
 
-/// Seeds of a run; `TRESTLE_SEEDS` multiplies them for longer searches.
+/// Returns the number of seeds to run; the variable `TRESTLE_SEEDS` multiplies it for longer
+/// searches.
 fn seeds(count: u64) -> u64 {
     let factor = std::env::var("TRESTLE_SEEDS").ok().and_then(|text| text.parse().ok());
     count * factor.unwrap_or(1)
 }
 
-fn run(seed: u64, kinds: &[Fault]) {
+fn run(seed: u64, faults: &[Fault]) {
     if std::env::var("TRESTLE_TRACE").is_ok() {
-        eprintln!("seed {seed}, faults {kinds:?}");
+        eprintln!("seed {seed}, faults {faults:?}");
     }
     let mut simulation = Simulation::new(seed, catalog(), &DAEMONS);
     simulation.run_for(5_000);
     for _ in 0..STEPS {
         for _ in 0..simulation.random(4) {
-            ask_at_random(&mut simulation);
+            request_at_random(&mut simulation);
         }
-        if !kinds.is_empty() && simulation.random(3) == 0 {
-            let kind = kinds[simulation.random(kinds.len() as u64) as usize];
-            begin(&mut simulation, kind);
+        if !faults.is_empty() && simulation.random(3) == 0 {
+            let kind = faults[simulation.random(faults.len() as u64) as usize];
+            start_fault(&mut simulation, kind);
         }
         if simulation.random(6) == 0 {
             simulation.faults = Faults::default();
@@ -113,16 +114,16 @@
         let time_ms = 50 + simulation.random(800);
         simulation.run_for(time_ms);
     }
-    settle(&mut simulation);
+    check_recovery(&mut simulation);
 }
 
-/// With all faults gone, every model can be served again.
-fn settle(simulation: &mut Simulation) {
+/// Checks that every model has a replica and every engine an owner once all faults are gone.
+fn check_recovery(simulation: &mut Simulation) {
     simulation.faults = Faults::default();
     for engine in ENGINES {
-        simulation.list(engine, Some(VmState::Live));
+        simulation.set_listed(engine, Some(VmState::Live));
     }
-    // Daemons that were told to stop need a moment to do so.
+    // Daemons that were asked to stop need some time for it.
     simulation.run_for(10_000);
     for (vm, domain) in DAEMONS {
         if !simulation.is_alive(vm) {
@@ -133,7 +134,7 @@
     for model in MODELS {
         assert!(
             simulation.table.replicas(model) > 0,
-            "{model} has no place after all faults are gone"
+            "{model} has no replica after all faults are gone"
         );
     }
     for engine in ENGINES {
@@ -146,7 +147,7 @@
     }
 }
 
-fn ask_at_random(simulation: &mut Simulation) {
+fn request_at_random(simulation: &mut Simulation) {
     let vm = pick_vm(simulation);
     let engine = ENGINES[simulation.random(3) as usize];
     let model = MODELS[simulation.random(5) as usize];
@@ -161,7 +162,7 @@
     names[simulation.random(names.len() as u64) as usize].clone()
 }
 
-fn begin(simulation: &mut Simulation, kind: Fault) {
+fn start_fault(simulation: &mut Simulation, kind: Fault) {
     let vm = pick_vm(simulation);
     let engine = ENGINES[simulation.random(3) as usize];
     match kind {
@@ -195,7 +196,7 @@
         }
         Fault::Draining => {
             let state = if simulation.random(2) == 0 { VmState::Draining } else { VmState::Live };
-            simulation.list(engine, Some(state));
+            simulation.set_listed(engine, Some(state));
         }
         Fault::Reconfigure => {
             let model = MODELS[simulation.random(5) as usize];
--- a/crates/trestle-core/tests/membership.rs
+++ b/crates/trestle-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! When a lease counts as expired, seen from one observer.
+//! Expiry of a lease, as one observer determines it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::{
@@ -10,22 +10,22 @@
     timing::Timing,
 };
 
-/// What the observer's rounds are like.
+/// Course of one round of the observer.
 #[derive(Clone, Copy)]
 enum Round {
-    /// Read and renewal succeed, and the other member has not renewed.
-    Still,
-    /// The same, but the other member has renewed.
+    /// The read and the observer's renewal succeed; the other member has not renewed its lease.
+    Unchanged,
+    /// The read and the observer's renewal succeed; the other member has renewed its lease.
     Renewed,
     /// The read fails.
     ReadFails,
-    /// The read succeeds, the observer's own renewal fails.
+    /// The read succeeds; the observer's own renewal fails.
     WriteFails,
-    /// The observer itself was paused for an hour before the round.
+    /// The observer was suspended for an hour before the round.
     Paused,
 }
 
-macro_rules! leases {
+macro_rules! lease_tests {
     ($($name:ident: $rounds:expr => $expired:literal;)+) => {
         $(
             #[test]
@@ -36,16 +36,16 @@
     };
 }
 
-leases! {
-    a_lease_expires_after_enough_counted_time: [Round::Still; 7] => true;
-    a_lease_does_not_expire_early: [Round::Still; 3] => false;
+lease_tests! {
+    a_lease_expires_after_enough_counted_time: [Round::Unchanged; 7] => true;
+    a_lease_does_not_expire_early: [Round::Unchanged; 3] => false;
     renewals_keep_a_lease: [Round::Renewed; 40] => false;
     failed_reads_do_not_count: [Round::ReadFails; 40] => false;
     an_outage_between_reads_does_not_count:
-        [Round::Still, Round::ReadFails, Round::ReadFails, Round::Still, Round::ReadFails,
-         Round::Still, Round::ReadFails, Round::Still, Round::ReadFails, Round::Still] => false;
+        [Round::Unchanged, Round::ReadFails, Round::ReadFails, Round::Unchanged, Round::ReadFails,
+         Round::Unchanged, Round::ReadFails, Round::Unchanged, Round::ReadFails, Round::Unchanged] => false;
     time_without_own_renewals_does_not_count: [Round::WriteFails; 40] => false;
-    a_pause_of_the_observer_counts_little: [Round::Still, Round::Paused] => false;
+    a_pause_of_the_observer_counts_only_partly: [Round::Unchanged, Round::Paused] => false;
 }
 
 fn is_expired_after(rounds: &[Round]) -> bool {
--- a/crates/trestle-core/tests/overload.rs
+++ b/crates/trestle-core/tests/overload.rs
@@ -1,7 +1,8 @@
-//! A load far above what an engine can serve, in virtual time.
+//! Offered load far above the capacity of an engine, in virtual time.
 //!
-//! What is admitted must end in time and what cannot is refused, so that ten times the
-//! load brings as many answers as the load at capacity, and urgent requests all of theirs.
+//! Guards against congestion collapse: admitted requests must end in time and the rest must be
+//! refused, so that ten times the capacity yields as many answers as the capacity itself, and all
+//! urgent requests are answered.
 
 mod simulation;
 
@@ -13,20 +14,21 @@
 };
 
 const DAEMONS: [(&str, &str); 2] = [("a-1", "a"), ("a-2", "a")];
-/// Requests that the engine runs at once, each for as long as declared.
+/// Number of requests that the engine runs at once; each runs for the declared time.
 const SLOTS: usize = 8;
 const SERVICE_MS: u64 = 100;
-/// Requests a second that the engine can serve.
+/// Capacity of the engine in requests per second.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / SERVICE_MS;
-/// One request in so many of those at capacity is urgent, whatever the load.
-const URGENT_PART: u64 = 8;
+/// One in this many requests of a load at capacity is urgent; the rate of urgent requests is the
+/// same at any load.
+const URGENT_INTERVAL: u64 = 8;
 const DEADLINE_MS: u64 = 2_000;
-/// Longest time of the two messages around a run, to the engine and to the owner, of which
-/// the owner's estimate knows nothing.
+/// Longest total delay of the two messages around a request, to the engine and to the owner. The
+/// owner's estimate does not include it.
 const MESSAGES_MS: u64 = 20;
-const LOAD_MS: u64 = 20_000;
+const RUN_MS: u64 = 20_000;
 
-/// How many requests ended in time.
+/// Numbers of requests that ended in time or late.
 struct Goodput {
     in_time: u64,
     late: u64,
@@ -75,32 +77,32 @@
     simulation.submit(owner, request);
 }
 
-/// Asks at a multiple of the capacity, the urgent class always at the same rate.
-fn load(seed: u64, factor: u64) -> Goodput {
+/// Sends requests at a multiple of the capacity, with urgent ones always at the same rate.
+fn run_load(seed: u64, factor: u64) -> Goodput {
     let mut simulation = Simulation::new(seed, one_engine(), &DAEMONS);
     simulation.faults.run_ms = Some(SERVICE_MS);
-    simulation.faults.is_network_calm = true;
+    simulation.faults.has_no_slow_messages = true;
     simulation.late_after_ms = MESSAGES_MS;
     simulation.run_for(8_000);
     let owner = simulation.owner_of("x").expect("the engine has an owner");
-    // The model is loaded and has served before the load begins.
+    // The model is loaded and has served a request before the load begins.
     request_permit(&mut simulation, owner.as_str(), 0);
     simulation.run_for(4_000);
-    simulation.ended.clear();
+    simulation.completed.clear();
     let per_s = CAPACITY * factor;
-    let urgent_every = factor * URGENT_PART;
-    for number in 0..per_s * LOAD_MS / 1_000 {
+    let urgent_every = factor * URGENT_INTERVAL;
+    for number in 0..per_s * RUN_MS / 1_000 {
         let urgency = if number % urgent_every == 0 { 0 } else { 2 };
         request_permit(&mut simulation, owner.as_str(), urgency);
         let due_ms = 12_000 + number * 1_000 / per_s;
         simulation.run_for(due_ms.saturating_sub(simulation.now_ms));
     }
     simulation.run_for(2 * DEADLINE_MS);
-    let ended = |urgency: u8| simulation.ended.get(&urgency).copied().unwrap_or_default();
+    let completed = |urgency: u8| simulation.completed.get(&urgency).copied().unwrap_or_default();
     Goodput {
-        in_time: ended(0).in_time + ended(2).in_time,
-        late: ended(0).late + ended(2).late,
-        urgent_in_time: ended(0).in_time,
+        in_time: completed(0).in_time + completed(2).in_time,
+        late: completed(0).late + completed(2).late,
+        urgent_in_time: completed(0).in_time,
     }
 }
 
@@ -109,7 +111,7 @@
         $(
             #[test]
             fn $name() {
-                goodput_holds($seed);
+                check_goodput($seed);
             }
         )+
     };
@@ -121,11 +123,11 @@
     ten_times_the_load_with_a_third_seed: 3;
 }
 
-fn goodput_holds(seed: u64) {
-    let (at_capacity, at_ten_times) = (load(seed, 1), load(seed, 10));
-    let urgent = CAPACITY * LOAD_MS / 1_000 / URGENT_PART;
+fn check_goodput(seed: u64) {
+    let (at_capacity, at_ten_times) = (run_load(seed, 1), run_load(seed, 10));
+    let urgent = CAPACITY * RUN_MS / 1_000 / URGENT_INTERVAL;
     let ratio = at_ten_times.in_time as f64 / at_capacity.in_time as f64;
     assert!(ratio >= 0.95, "{} in time, {} at capacity", at_ten_times.in_time, at_capacity.in_time);
-    assert_eq!(at_ten_times.urgent_in_time, urgent, "urgent requests were lost");
+    assert_eq!(at_ten_times.urgent_in_time, urgent, "urgent requests were refused or late");
     assert_eq!((at_capacity.late, at_ten_times.late), (0, 0), "answers came after their deadline");
 }
--- a/crates/trestle-core/tests/scenarios.rs
+++ b/crates/trestle-core/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Single interleavings that are too rare for a random search, each the shortest
-//! way to a breach if one guard were missing.
+//! Interleavings that are too rare for a random search to find. Each is the shortest sequence of
+//! events that would violate an invariant if one particular check was missing.
 
 mod simulation;
 
@@ -13,7 +13,7 @@
 
 const DAEMONS: [(&str, &str); 3] = [("a-1", "a"), ("a-2", "a"), ("a-3", "a")];
 
-/// Two engines and one model that may have one replica.
+/// Returns a catalog of two engines and one model that may have one replica.
 fn two_engines(fencing: Fencing) -> Catalog {
     let engine = || EngineSpec { domain: "a".into(), memory_bytes: 100, slots: 4, fencing };
     let model = ModelSpec {
@@ -34,73 +34,73 @@
     catalog.at_version(1, &Catalog::default())
 }
 
-/// The engine where the model is placed, and the other one.
+/// Returns the engine where the model is placed, and the other one.
 fn placed(simulation: &Simulation) -> (&'static str, &'static str) {
-    let is_at_x = simulation.table.decided_models(&EndpointName::from("x")).contains("m");
+    let is_at_x = simulation.table.recorded_models(&EndpointName::from("x")).contains("m");
     if is_at_x { ("x", "y") } else { ("y", "x") }
 }
 
-/// A successor of the owner in the chain of an engine.
-fn successor(simulation: &Simulation, engine: &str) -> (VmName, VmName) {
+/// Returns the owner of an engine and its first successor.
+fn owner_and_successor(simulation: &Simulation, engine: &str) -> (VmName, VmName) {
     let owner = simulation.owner_of(engine).expect("the engine has an owner");
     let chain = simulation.chain(&owner, engine);
     (chain[0].clone(), chain[1].clone())
 }
 
-/// Asks every daemon but one for a permit; whoever owns the engine gives it.
-fn ask_all_but(simulation: &mut Simulation, vm: &VmName, engine: &str) {
+/// Requests a permit from every daemon but one; only the owner of the engine grants it.
+fn request_from_all_but(simulation: &mut Simulation, vm: &VmName, engine: &str) {
     for (name, _) in DAEMONS.iter().filter(|(name, _)| *name != vm.as_str()) {
         simulation.request_permit(name, engine, "m", 0);
     }
 }
 
-/// A successor that cannot reach the platform has not read that a placement is
-/// retired, and takes over at the old epoch.
+/// Guards against a load at a superseded epoch: a successor that cannot reach the platform has
+/// not read that a placement is retiring, and takes over at the old epoch.
 #[test]
 fn successor_cut_off_cannot_load_a_retired_model() {
     let mut simulation = Simulation::new(1, two_engines(Fencing::Checked), &DAEMONS);
     simulation.run_for(8_000);
     let (old, new) = placed(&simulation);
-    let (owner, stale) = successor(&simulation, old);
+    let (owner, stale) = owner_and_successor(&simulation, old);
     simulation.faults.platform_cut.insert(stale.clone());
     simulation.faults.peers_cut.insert((owner, stale.clone()));
-    simulation.list(old, Some(VmState::Draining));
+    simulation.set_listed(old, Some(VmState::Draining));
     simulation.run_for(8_000);
-    assert_eq!(placed(&simulation).0, new, "the replica is decided elsewhere");
-    ask_all_but(&mut simulation, &stale, new);
+    assert_eq!(placed(&simulation).0, new, "the replica has not moved to the other engine");
+    request_from_all_but(&mut simulation, &stale, new);
     simulation.run_for(3_000);
     simulation.request_permit(stale.as_str(), old, "m", 1);
     simulation.run_for(5_000);
     assert_eq!(simulation.loads, 1);
 }
 
-/// As long as the engine has not accepted the new epoch, an owner at the old one
-/// could still load there, so the replica is not given back.
+/// Guards against an early release of a replica: until the engine has accepted the new epoch, an
+/// owner at the old one could still load the model there.
 #[test]
 fn replica_counts_until_the_engine_accepts_the_new_epoch() {
     let mut simulation = Simulation::new(2, two_engines(Fencing::Checked), &DAEMONS);
     simulation.run_for(8_000);
     let (old, new) = placed(&simulation);
-    let (owner, stale) = successor(&simulation, old);
+    let (owner, stale) = owner_and_successor(&simulation, old);
     simulation.faults.platform_cut.insert(stale.clone());
     simulation.faults.peers_cut.insert((owner.clone(), stale.clone()));
     simulation.faults.engine_cut.insert((owner, old.into()));
-    simulation.list(old, Some(VmState::Draining));
+    simulation.set_listed(old, Some(VmState::Draining));
     simulation.run_for(8_000);
-    ask_all_but(&mut simulation, &stale, new);
+    request_from_all_but(&mut simulation, &stale, new);
     simulation.run_for(3_000);
     simulation.request_permit(stale.as_str(), old, "m", 1);
     simulation.run_for(5_000);
     assert!(simulation.loads <= 1);
 }
 
-/// Two daemons that both reach an engine, but not each other, take over once each.
+/// Two daemons that both reach an engine, but not each other, take over once each at most.
 #[test]
 fn daemons_cut_from_each_other_do_not_thrash() {
     let mut simulation = Simulation::new(3, two_engines(Fencing::Checked), &DAEMONS);
     simulation.run_for(8_000);
     let (engine, _) = placed(&simulation);
-    let (owner, other) = successor(&simulation, engine);
+    let (owner, other) = owner_and_successor(&simulation, engine);
     simulation.faults.peers_cut.insert((owner.clone(), other.clone()));
     simulation.faults.platform_down = true;
     for _ in 0..40 {
@@ -113,35 +113,35 @@
     assert!(refused <= 2, "{refused} orders were refused");
 }
 
-/// An owner that was frozen with a load in hand sends it long after it was
-/// replaced, to an engine that ignores numbers.
+/// Guards against a delayed order: an owner decides on a load, is suspended, and sends the order
+/// long after it was replaced, to an engine that ignores fencing numbers.
 #[test]
-fn frozen_owner_with_a_load_in_hand_makes_no_surplus_replica() {
+fn suspended_owner_with_an_unsent_load_causes_no_surplus_replica() {
     let mut simulation = Simulation::new(6, two_engines(Fencing::Ignored), &DAEMONS);
     simulation.run_for(8_000);
     let (old, new) = placed(&simulation);
-    let (owner, _) = successor(&simulation, old);
+    let (owner, _) = owner_and_successor(&simulation, old);
     let resumes_ms = simulation.now_ms + 60_000;
-    simulation.faults.orders_held_until_ms.insert(owner.clone(), resumes_ms);
+    simulation.faults.orders_delayed_until_ms.insert(owner.clone(), resumes_ms);
     simulation.request_permit(owner.as_str(), old, "m", 0);
     simulation.run_for(400);
     simulation.freeze(owner.as_str(), resumes_ms - simulation.now_ms);
-    simulation.list(old, Some(VmState::Draining));
+    simulation.set_listed(old, Some(VmState::Draining));
     simulation.run_for(40_000);
-    ask_all_but(&mut simulation, &owner, new);
+    request_from_all_but(&mut simulation, &owner, new);
     simulation.run_for(40_000);
-    simulation.faults.orders_held_until_ms.clear();
+    simulation.faults.orders_delayed_until_ms.clear();
     simulation.run_for(60_000);
-    assert_eq!(placed(&simulation).0, new, "the replica is decided elsewhere in the end");
+    assert_eq!(placed(&simulation).0, new, "the replica is not at the other engine at the end");
 }
 
-/// With the platform down, a successor takes over and starts a cold model.
+/// While the platform is down, a successor takes over and loads a model.
 #[test]
-fn cold_start_without_the_platform_after_the_owner_died() {
+fn cold_start_succeeds_during_an_outage_after_the_owner_crashed() {
     let mut simulation = Simulation::new(4, two_engines(Fencing::Checked), &DAEMONS);
     simulation.run_for(8_000);
     let (engine, _) = placed(&simulation);
-    let (owner, other) = successor(&simulation, engine);
+    let (owner, other) = owner_and_successor(&simulation, engine);
     simulation.faults.platform_down = true;
     simulation.kill(owner.as_str());
     let writes = simulation.table.writes;
@@ -151,9 +151,9 @@
     assert_eq!(simulation.table.writes, writes, "a cold start wrote to the table");
 }
 
-/// An outage of the platform moves no epoch, however long.
+/// An outage of the platform changes no epoch, however long it lasts.
 #[test]
-fn outage_expels_nobody() {
+fn platform_outage_expels_no_member() {
     let mut simulation = Simulation::new(5, two_engines(Fencing::Checked), &DAEMONS);
     simulation.run_for(8_000);
     let epoch = simulation.epoch("a-1");
@@ -167,7 +167,7 @@
     assert_eq!(simulation.epoch("a-1"), epoch);
 }
 
-/// One engine with room for one of two models.
+/// Returns a catalog of one engine with room for one of two models.
 fn one_engine() -> Catalog {
     let mut catalog = two_engines(Fencing::Checked);
     catalog.engines.remove("y");
@@ -176,22 +176,22 @@
     catalog.at_version(1, &Catalog::default())
 }
 
-/// LoadLimiter the model and waits until it has served and is idle.
+/// Loads the model and waits until it has served a request and is idle.
 fn warm_up(simulation: &mut Simulation, owner: &VmName) {
     simulation.run_for(8_000);
     simulation.request_permit(owner.as_str(), "x", "m", 0);
     simulation.run_for(9_000);
 }
 
-/// An owner that was frozen and replaced finds a request when it goes on, and must
-/// not let it run beside the orders of its successor.
+/// Guards against a permit of a replaced owner: a suspended owner finds a request when it resumes,
+/// and must not let it run while its successor sends orders.
 #[test]
-fn owner_resumed_after_its_replacement_gives_no_permit() {
+fn owner_resumed_after_its_replacement_grants_no_permit() {
     for seed in 0..8 {
         for delay_ms in (0..800).step_by(40) {
             let mut simulation = Simulation::new(seed, one_engine(), &DAEMONS);
             simulation.run_for(2_000);
-            let (owner, other) = successor(&simulation, "x");
+            let (owner, other) = owner_and_successor(&simulation, "x");
             warm_up(&mut simulation, &owner);
             simulation.freeze(owner.as_str(), 12_000);
             simulation.request_permit(owner.as_str(), "x", "m", 0);
@@ -202,15 +202,15 @@
     }
 }
 
-/// A permit of an owner that is lost right after is used late, while the successor
-/// makes room for another model.
+/// Guards against an unload that aborts a request: an owner crashes right after it granted a
+/// permit, the permit is used late, and the successor meanwhile evicts the model for another one.
 #[test]
-fn successor_waits_for_permits_that_are_out() {
+fn successor_waits_for_unused_permits_of_the_previous_owner() {
     for seed in 0..8 {
         for use_ms in (50..900).step_by(25) {
             let mut simulation = Simulation::new(seed, one_engine(), &DAEMONS);
             simulation.run_for(2_000);
-            let (owner, other) = successor(&simulation, "x");
+            let (owner, other) = owner_and_successor(&simulation, "x");
             warm_up(&mut simulation, &owner);
             simulation.faults.permit_use_ms = use_ms;
             simulation.request_permit(owner.as_str(), "x", "m", 0);
@@ -222,26 +222,26 @@
     }
 }
 
-/// A successor reads what is placed just before a placement is retired, and gets the
-/// answer after it has read the new epoch.
+/// Guards against outdated rows: a successor reads the placements just before one is retired, and
+/// receives the answer after it has read the new epoch.
 #[test]
-fn rows_read_before_an_epoch_are_not_acted_on_at_it() {
+fn rows_read_before_an_epoch_are_not_applied_at_it() {
     for delay_ms in (250..1_000).step_by(25) {
         let mut simulation = Simulation::new(7, two_engines(Fencing::Checked), &DAEMONS);
         simulation.run_for(8_000);
         let (old, new) = placed(&simulation);
-        let (owner, stale) = successor(&simulation, old);
+        let (owner, stale) = owner_and_successor(&simulation, old);
         simulation.faults.late_placements_ms.insert(stale.clone(), 3_000);
-        simulation.faults.list_unread.insert(stale.clone());
+        simulation.faults.stale_list.insert(stale.clone());
         simulation.row_changed(&stale, old);
         simulation.run_for(delay_ms);
-        simulation.list(old, Some(VmState::Draining));
+        simulation.set_listed(old, Some(VmState::Draining));
         simulation.run_for(4_000);
         simulation.faults.platform_cut.insert(stale.clone());
         simulation.faults.peers_cut.insert((owner, stale.clone()));
         simulation.request_permit(stale.as_str(), old, "m", 1);
         simulation.run_for(2_000);
-        ask_all_but(&mut simulation, &stale, new);
+        request_from_all_but(&mut simulation, &stale, new);
         simulation.run_for(4_000);
         assert!(simulation.loads <= 1);
     }
--- a/crates/trestle-core/tests/simulation/deliver.rs
+++ b/crates/trestle-core/tests/simulation/deliver.rs
@@ -1,4 +1,4 @@
-//! How messages travel in the simulation, and what each leads to.
+//! Delivery of the simulation's messages, and their effects.
 
 use super::{ScheduledEvent, Simulation, TICK_MS, TIMEOUT_MS};
 use trestle_core::{
@@ -23,12 +23,12 @@
                 let late_ms = self.faults.late_placements_ms.get(&name).copied().unwrap_or(0);
                 let is_late = matches!(purpose, ReadPurpose::Placements { .. });
                 let late_ms = if is_late { late_ms } else { 0 };
-                let at_ms = self.now_ms + self.hop_ms() + late_ms;
+                let at_ms = self.now_ms + self.message_delay_ms() + late_ms;
                 let event = Event::Read(purpose, rows);
                 self.queue.push(at_ms, ScheduledEvent::Event(name, run, event));
             }
             ScheduledEvent::Order(name, run, endpoint, order) => {
-                self.take_order(name, run, endpoint, order);
+                self.apply_order(name, run, endpoint, order);
             }
             ScheduledEvent::Loaded(endpoint, model) => self.engine(&endpoint).loaded(&model),
             ScheduledEvent::Unloaded(endpoint, model) => self.engine(&endpoint).unloaded(&model),
@@ -37,18 +37,18 @@
             }
             ScheduledEvent::End { endpoint, model, owner, ticket } => {
                 self.engine(&endpoint).end(&model);
-                self.note_end(ticket);
+                self.record_completion(ticket);
                 self.release(&owner, endpoint, ticket);
             }
         }
     }
 
-    fn note_end(&mut self, ticket: Ticket) {
+    fn record_completion(&mut self, ticket: Ticket) {
         let Some((urgency, deadline_ms)) = self.running.remove(&ticket) else { return };
-        let ended = self.ended.entry(urgency).or_default();
+        let completed = self.completed.entry(urgency).or_default();
         match self.now_ms <= deadline_ms + self.late_after_ms {
-            true => ended.in_time += 1,
-            false => ended.late += 1,
+            true => completed.in_time += 1,
+            false => completed.late += 1,
         }
     }
 
@@ -60,7 +60,7 @@
         }
         let run = vm.run;
         let reads_list =
-            !self.faults.is_platform_cut(&name) && !self.faults.list_unread.contains(&name);
+            !self.faults.is_platform_cut(&name) && !self.faults.stale_list.contains(&name);
         if self.random(20) == 0 && reads_list {
             let listed = self.listed.clone();
             self.handle(&name, run, Event::VmList(listed));
@@ -82,14 +82,14 @@
         if !vm.is_alive || vm.run != run {
             return;
         }
-        let actions = vm.node.handle(event, self.now_ms);
+        let actions = vm.control.handle(event, self.now_ms);
         for action in actions {
             self.carry_out(name, run, action);
         }
     }
 
     fn carry_out(&mut self, name: &VmName, run: u64, action: Action) {
-        let at_ms = self.now_ms + self.hop_ms();
+        let at_ms = self.now_ms + self.message_delay_ms();
         let name = name.clone();
         match action {
             Action::Read(purpose, keys) => {
@@ -104,11 +104,11 @@
                 self.queue.push(at_ms, ScheduledEvent::Event(name, run, event));
             }
             Action::Order(endpoint, order) => self.send_order(name, run, endpoint, order),
-            Action::Answer(ticket, answer) => self.answered(&name, ticket, answer),
+            Action::Answer(ticket, answer) => self.on_answer(&name, ticket, answer),
             Action::Notify { vm, endpoint, .. } => {
                 let run = self.vms.get(&vm).map_or(0, |vm| vm.run);
                 if !self.faults.are_peers_cut(&name, &vm) {
-                    self.event_soon(&vm, run, Event::RowChanged(endpoint));
+                    self.schedule_event(&vm, run, Event::RowChanged(endpoint));
                 }
             }
             Action::Members(_)
@@ -124,10 +124,10 @@
         let is_reachable = vm.is_alive
             && vm.frozen_until_ms <= self.now_ms
             && !self.faults.are_peers_cut(from, to);
-        is_reachable.then(|| vm.node.owns(endpoint))
+        is_reachable.then(|| vm.control.owns(endpoint))
     }
 
-    /// Sends an order; some are delayed for long, and arrive after the sender has given them up.
+    /// Sends an order; some orders are delayed until after the sender has stopped waiting.
     fn send_order(&mut self, name: VmName, run: u64, endpoint: EndpointName, order: Order) {
         let fence = order.fence;
         let unknown = Event::OrderResult {
@@ -142,34 +142,34 @@
         }
         let is_slow = self.rng.u8(..100) < self.faults.slow_orders_percent;
         let longest_ms = self.faults.slow_order_ms;
-        let delay_ms = if is_slow { self.random(longest_ms) } else { self.hop_ms() };
-        // What a frozen daemon has not sent yet, it sends when it goes on.
-        let held_ms = self.faults.orders_held_until_ms.get(&name).copied().unwrap_or(0);
-        let frozen_ms = self.vms[&name].frozen_until_ms.max(held_ms);
+        let delay_ms = if is_slow { self.random(longest_ms) } else { self.message_delay_ms() };
+        // An order that a suspended daemon has not sent yet is sent when the daemon resumes.
+        let delayed_until_ms = self.faults.orders_delayed_until_ms.get(&name).copied().unwrap_or(0);
+        let frozen_ms = self.vms[&name].frozen_until_ms.max(delayed_until_ms);
         let at_ms = (self.now_ms + delay_ms).max(frozen_ms);
         self.queue.push(at_ms, ScheduledEvent::Order(name, run, endpoint, order));
     }
 
-    fn take_order(&mut self, name: VmName, run: u64, endpoint: EndpointName, order: Order) {
+    fn apply_order(&mut self, name: VmName, run: u64, endpoint: EndpointName, order: Order) {
         let fence = order.fence;
-        let decided = self.table.decided_models(&endpoint);
+        let recorded = self.table.recorded_models(&endpoint);
         let now_ms = self.now_ms;
-        let taken = self.engine(&endpoint).take(order, &decided, now_ms, endpoint.as_str());
-        self.loads += u64::from(taken.loading.is_some());
+        let effect = self.engine(&endpoint).apply(order, &recorded, now_ms, endpoint.as_str());
+        self.loads += u64::from(effect.loading.is_some());
         let ends_ms = self.now_ms + 500 + self.random(1_500);
-        if let Some(model) = taken.loading {
+        if let Some(model) = effect.loading {
             self.queue.push(ends_ms, ScheduledEvent::Loaded(endpoint.clone(), model));
         }
-        if let Some(model) = taken.unloading {
+        if let Some(model) = effect.unloading {
             let ends_ms = self.now_ms + 50 + self.random(200);
             self.queue.push(ends_ms, ScheduledEvent::Unloaded(endpoint.clone(), model));
         }
         let is_lost = self.rng.u8(..100) < self.faults.lost_answers_percent;
         if !is_lost {
-            self.event_soon(
+            self.schedule_event(
                 &name,
                 run,
-                Event::OrderResult { endpoint, fence, outcome: taken.outcome },
+                Event::OrderResult { endpoint, fence, outcome: effect.outcome },
             );
         }
     }
@@ -184,29 +184,29 @@
         let mut outcome = CommitOutcome::Unknown;
         if !self.faults.is_platform_cut(&name) && !self.faults.writes_down {
             outcome = self.table.commit(txn, &self.catalog);
-            self.check_decided();
+            self.check_recorded();
             if self.rng.u8(..100) < self.faults.lost_answers_percent {
                 outcome = CommitOutcome::Unknown;
             }
         }
-        self.event_soon(&name, run, Event::Committed(purpose, outcome));
+        self.schedule_event(&name, run, Event::Committed(purpose, outcome));
     }
 
-    /// Whatever takes memory at an engine must be decided to be there.
-    fn check_decided(&self) {
+    /// Checks that the table records every model that occupies memory at an engine.
+    fn check_recorded(&self) {
         for (name, engine) in &self.engines {
-            let decided = self.table.decided_models(name);
+            let recorded = self.table.recorded_models(name);
             for model in engine.held() {
                 assert!(
-                    decided.contains(model),
-                    "surplus replica at {} ms: {model} at {name} is not decided any more",
+                    recorded.contains(model),
+                    "surplus replica at {} ms: {model} at {name} is not recorded",
                     self.now_ms
                 );
             }
         }
     }
 
-    fn answered(&mut self, owner: &VmName, ticket: Ticket, answer: PermitAnswer) {
+    fn on_answer(&mut self, owner: &VmName, ticket: Ticket, answer: PermitAnswer) {
         let Some(request) = self.requests.remove(&ticket) else { return };
         if !matches!(answer, PermitAnswer::Granted { .. }) {
             self.refused += 1;
@@ -214,7 +214,7 @@
         }
         self.granted += 1;
         self.running.insert(ticket, (request.urgency, request.deadline_ms));
-        let at_ms = self.now_ms + self.hop_ms().max(self.faults.permit_use_ms);
+        let at_ms = self.now_ms + self.message_delay_ms().max(self.faults.permit_use_ms);
         self.queue.push(
             at_ms,
             ScheduledEvent::Begin {
@@ -249,16 +249,16 @@
 
     fn release(&mut self, owner: &VmName, endpoint: EndpointName, ticket: Ticket) {
         let run = self.vms[owner].run;
-        self.event_soon(owner, run, Event::Release(endpoint, ticket));
+        self.schedule_event(owner, run, Event::Release(endpoint, ticket));
     }
 
-    pub(super) fn event_soon(&mut self, name: &VmName, run: u64, event: Event) {
-        let at_ms = self.now_ms + self.hop_ms();
+    pub(super) fn schedule_event(&mut self, name: &VmName, run: u64, event: Event) {
+        let at_ms = self.now_ms + self.message_delay_ms();
         self.queue.push(at_ms, ScheduledEvent::Event(name.clone(), run, event));
     }
 
-    fn hop_ms(&mut self) -> u64 {
-        let is_slow = self.rng.u8(..10) == 0 && !self.faults.is_network_calm;
+    fn message_delay_ms(&mut self) -> u64 {
+        let is_slow = self.rng.u8(..10) == 0 && !self.faults.has_no_slow_messages;
         let longest_ms = if is_slow { 300 } else { 10 };
         self.random(longest_ms)
     }
--- a/crates/trestle-core/tests/simulation/engine.rs
+++ b/crates/trestle-core/tests/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine that fails the run at every breach.
+//! Simulated engine that fails the test when an order violates an invariant.
 
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::{
@@ -8,7 +8,7 @@
     order::{ModelReport, Order, OrderKind, OrderOutcome, Phase, Report},
 };
 
-/// A fake engine.
+/// Simulated engine.
 pub(crate) struct Engine {
     pub(crate) refused_orders: u64,
     spec: EngineSpec,
@@ -16,8 +16,8 @@
     models: BTreeMap<ModelName, ModelReport>,
 }
 
-/// What an order has led to.
-pub(crate) struct Taken {
+/// Effect of an order on an engine: the answer, and the load or unload that it started.
+pub(crate) struct OrderEffect {
     pub(crate) outcome: OrderOutcome,
     pub(crate) loading: Option<ModelName>,
     pub(crate) unloading: Option<ModelName>,
@@ -28,18 +28,19 @@
         Self { refused_orders: 0, spec, fence: Fence::ZERO, models: BTreeMap::new() }
     }
 
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &mut self,
         order: Order,
-        decided: &BTreeSet<ModelName>,
+        recorded: &BTreeSet<ModelName>,
         now_ms: u64,
         name: &str,
-    ) -> Taken {
-        let mut taken = Taken { outcome: OrderOutcome::Unknown, loading: None, unloading: None };
+    ) -> OrderEffect {
+        let mut effect =
+            OrderEffect { outcome: OrderOutcome::Unknown, loading: None, unloading: None };
         if self.spec.fencing == Fencing::Checked && order.fence < self.fence {
             self.refused_orders += 1;
-            taken.outcome = OrderOutcome::Refused(self.fence);
-            return taken;
+            effect.outcome = OrderOutcome::Refused(self.fence);
+            return effect;
         }
         self.fence = self.fence.max(order.fence);
         match order.kind {
@@ -48,30 +49,30 @@
                 let used: u64 = self.models.values().map(|state| state.memory_bytes).sum();
                 assert!(
                     used + memory_bytes <= self.spec.memory_bytes,
-                    "overcommit at {name} at {now_ms} ms: {model} beside {:?}",
+                    "overcommit at {name} at {now_ms} ms: {model} does not fit beside {:?}",
                     self.models
                 );
                 assert!(
-                    decided.contains(&model),
-                    "surplus replica at {name} at {now_ms} ms: {model} is not decided there"
+                    recorded.contains(&model),
+                    "surplus replica at {name} at {now_ms} ms: {model} is not recorded"
                 );
                 let state = ModelReport { phase: Phase::Loading, memory_bytes, running: 0 };
                 self.models.insert(model.clone(), state);
-                taken.loading = Some(model);
+                effect.loading = Some(model);
             }
             OrderKind::Load { .. } => {}
             OrderKind::Unload { model } => {
                 if let Some(state) = self.models.get_mut(&model)
                     && state.phase == Phase::Ready
                 {
-                    assert_eq!(state.running, 0, "unload of {model} at {name} cuts requests");
+                    assert_eq!(state.running, 0, "unload of {model} at {name} aborts requests");
                     state.phase = Phase::Unloading;
-                    taken.unloading = Some(model);
+                    effect.unloading = Some(model);
                 }
             }
         }
-        taken.outcome = OrderOutcome::Accepted(self.report());
-        taken
+        effect.outcome = OrderOutcome::Accepted(self.report());
+        effect
     }
 
     pub(crate) fn loaded(&mut self, model: &ModelName) {
@@ -84,7 +85,7 @@
         self.models.remove(model);
     }
 
-    /// Begins a request, if the model is ready.
+    /// Starts a request if the model is ready, and returns whether it did.
     pub(crate) fn begin(&mut self, model: &ModelName) -> bool {
         let Some(state) = self.models.get_mut(model) else { return false };
         if state.phase != Phase::Ready {
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Models that take memory.
+    /// Returns the models that occupy memory.
     pub(crate) fn held(&self) -> impl Iterator<Item = &ModelName> {
         self.models.keys()
     }
--- a/crates/trestle-core/tests/simulation/faults.rs
+++ b/crates/trestle-core/tests/simulation/faults.rs
@@ -1,9 +1,9 @@
-//! What goes wrong in the simulation.
+//! Faults of the simulation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{EndpointName, VmName};
 
-/// What goes wrong in the simulation.
+/// Faults that are in effect.
 #[derive(Default, Debug, Clone)]
 pub(crate) struct Faults {
     pub(crate) platform_down: bool,
@@ -11,22 +11,22 @@
     pub(crate) lost_answers_percent: u8,
     pub(crate) slow_orders_percent: u8,
     pub(crate) slow_order_ms: u64,
-    /// Time by which answers to reads of placements are late.
+    /// Additional delay of the answers to reads of placements, by daemon.
     pub(crate) late_placements_ms: BTreeMap<VmName, u64>,
-    /// Time that entry daemons take to use a permit.
+    /// Shortest time after which entry daemons use a permit.
     pub(crate) permit_use_ms: u64,
-    /// Until when orders that a daemon has decided on are not sent, as when it is
-    /// frozen in between.
-    pub(crate) orders_held_until_ms: BTreeMap<VmName, u64>,
+    /// Time until which the orders of a daemon stay unsent, as if it was suspended between its
+    /// decision and the sending.
+    pub(crate) orders_delayed_until_ms: BTreeMap<VmName, u64>,
     pub(crate) platform_cut: BTreeSet<VmName>,
-    /// Daemons that do not learn of changes in the platform's list of VMs.
-    pub(crate) list_unread: BTreeSet<VmName>,
+    /// Daemons that do not read the platform's list of VMs.
+    pub(crate) stale_list: BTreeSet<VmName>,
     pub(crate) engine_cut: BTreeSet<(VmName, EndpointName)>,
     pub(crate) peers_cut: BTreeSet<(VmName, VmName)>,
-    /// Time that every request runs, where it is not drawn.
+    /// Run time of every request; random if `None`.
     pub(crate) run_ms: Option<u64>,
-    /// Whether no message is delayed for long.
-    pub(crate) is_network_calm: bool,
+    /// Whether no message gets a long delay.
+    pub(crate) has_no_slow_messages: bool,
 }
 
 impl Faults {
--- a/crates/trestle-core/tests/simulation/mod.rs
+++ b/crates/trestle-core/tests/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! A small simulation around real nodes: a table, engines and entry daemons under a
-//! virtual clock, with every message delayed at will.
+//! Simulation of a small deployment: the control states of several daemons, a table, engines and
+//! entry daemons run under a virtual clock, and each message gets a random delay.
 //!
-//! The checks stand at the far side: the fake engines fail the run at any
-//! overcommit, at a replica that the table does not hold as decided, and at an
-//! unload that cuts a request.
+//! The checks are in the simulated engines and in the table. A run fails at any overcommit of
+//! memory, at a load of a model that the table does not record as placed, and at an unload that
+//! aborts a request.
 
 #![allow(dead_code, reason = "each test file uses some of it")]
 
@@ -33,27 +33,27 @@
     timing::Timing,
 };
 
-/// Time after which a sender no longer waits for an answer.
+/// Time after which a sender stops waiting for an answer.
 const TIMEOUT_MS: u64 = 1_000;
-/// Time between two ticks of a node.
+/// Interval of the ticks that each control state gets.
 const TICK_MS: u64 = 50;
 
-/// Something that happens in the simulation at a time.
+/// Event of the simulation that is scheduled for a time.
 #[derive(Debug)]
 enum ScheduledEvent {
     Tick(VmName),
-    /// An event reaches a run of a daemon.
+    /// An event reaches one run of a daemon.
     Event(VmName, u64, Event),
-    /// A transaction reaches the table.
+    /// A transaction of one run of a daemon reaches the table.
     Commit(VmName, u64, CommitPurpose, Txn),
-    /// A read reaches the table.
+    /// A read of one run of a daemon reaches the table.
     Read(VmName, u64, ReadPurpose, Vec<RowKey>),
-    /// An order reaches an engine.
+    /// An order of one run of a daemon reaches an engine.
     Order(VmName, u64, EndpointName, Order),
-    /// A load or unload at an engine ends.
+    /// A load or unload at an engine completes.
     Loaded(EndpointName, ModelName),
     Unloaded(EndpointName, ModelName),
-    /// A request that was granted reaches an engine, or ends there.
+    /// A request with a permit reaches an engine, or ends there.
     Begin {
         endpoint: EndpointName,
         model: ModelName,
@@ -71,21 +71,21 @@
 
 /// One VM with its daemon.
 struct Vm {
-    node: ControlState,
+    control: ControlState,
     run: u64,
     domain: DomainName,
     is_alive: bool,
     frozen_until_ms: u64,
 }
 
-/// Requests of one urgency that have run.
+/// Numbers of requests of one urgency that have ended.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Ended {
+pub(crate) struct Completed {
     pub(crate) in_time: u64,
     pub(crate) late: u64,
 }
 
-/// A small simulation around real nodes.
+/// Simulation of a small deployment.
 pub(crate) struct Simulation {
     pub(crate) faults: Faults,
     pub(crate) table: Table,
@@ -95,11 +95,11 @@
     pub(crate) refused: u64,
     pub(crate) loads: u64,
     pub(crate) now_ms: u64,
-    /// Time after its deadline from which an end counts as late.
+    /// Time after its deadline from which on the end of a request counts as late.
     pub(crate) late_after_ms: u64,
-    /// Requests that have run, by urgency.
-    pub(crate) ended: BTreeMap<u8, Ended>,
-    /// Urgency and deadline of each request that was granted and has not ended.
+    /// Numbers of requests that have ended, by urgency.
+    pub(crate) completed: BTreeMap<u8, Completed>,
+    /// Urgency and deadline of each request that has a permit and has not ended.
     running: BTreeMap<Ticket, (u8, u64)>,
     vms: BTreeMap<VmName, Vm>,
     queue: Queue<ScheduledEvent>,
@@ -111,7 +111,7 @@
 }
 
 impl Simulation {
-    /// A simulation with daemons and engines, nothing configured yet.
+    /// Creates a simulation of the daemons and of the engines in the catalog.
     pub(crate) fn new(seed: u64, catalog: Catalog, daemons: &[(&str, &str)]) -> Self {
         let engines = catalog.engines.iter();
         let engines: BTreeMap<_, _> =
@@ -127,7 +127,7 @@
             loads: 0,
             now_ms: 0,
             late_after_ms: 0,
-            ended: BTreeMap::new(),
+            completed: BTreeMap::new(),
             running: BTreeMap::new(),
             vms: BTreeMap::new(),
             queue: Queue::default(),
@@ -143,100 +143,102 @@
         simulation
     }
 
-    /// Starts a daemon, or starts it anew.
+    /// Starts a daemon, or restarts it.
     pub(crate) fn start(&mut self, vm: &str, domain: &str) {
         self.next_run += 1;
         let name = VmName::from(vm);
         let domain = DomainName::from(domain);
         let member =
             Member { address: vm.to_owned(), incarnation: self.next_run, is_adopter: false };
-        let node = ControlState::new(name.clone(), member, domain.clone(), timing());
+        let control = ControlState::new(name.clone(), member, domain.clone(), timing());
         let run = self.next_run;
         let is_known = self.vms.contains_key(&name);
-        self.vms.insert(name.clone(), Vm { node, run, domain, is_alive: true, frozen_until_ms: 0 });
+        self.vms
+            .insert(name.clone(), Vm { control, run, domain, is_alive: true, frozen_until_ms: 0 });
         self.listed.insert(vm.to_owned(), VmState::Live);
         let catalog = Arc::new(self.catalog.clone());
-        self.event_soon(&name, run, Event::Catalog(catalog));
+        self.schedule_event(&name, run, Event::Catalog(catalog));
         if !is_known {
             self.queue.push(self.now_ms, ScheduledEvent::Tick(name));
         }
     }
 
-    /// Ends a daemon without warning.
+    /// Kills a daemon.
     pub(crate) fn kill(&mut self, vm: &str) {
         self.vm(vm).is_alive = false;
     }
 
-    /// Freezes a daemon for a time.
+    /// Suspends a daemon for a time.
     pub(crate) fn freeze(&mut self, vm: &str, time_ms: u64) {
         let until_ms = self.now_ms + time_ms;
         self.vm(vm).frozen_until_ms = until_ms;
     }
 
-    /// Tells a daemon to stop as planned.
+    /// Asks a daemon to stop in the regular way.
     pub(crate) fn stop(&mut self, vm: &str) {
         let name = VmName::from(vm);
         let run = self.vms[&name].run;
-        self.event_soon(&name, run, Event::Stop);
+        self.schedule_event(&name, run, Event::Stop);
     }
 
-    /// Tells a daemon that a row has changed, so that it reads what is placed.
+    /// Notifies a daemon that the row of an engine has changed, so that it reads the placements.
     pub(crate) fn row_changed(&mut self, vm: &VmName, engine: &str) {
         let run = self.vms[vm].run;
-        self.event_soon(vm, run, Event::RowChanged(engine.into()));
+        self.schedule_event(vm, run, Event::RowChanged(engine.into()));
     }
 
-    /// Puts a changed configuration in force.
+    /// Activates a changed configuration.
     pub(crate) fn configure(&mut self, change: impl FnOnce(&mut Catalog)) {
         change(&mut self.catalog);
         let before = self.catalog.clone();
         self.catalog = self.catalog.clone().at_version(before.version + 1, &before);
         let catalog = Arc::new(self.catalog.clone());
         for (name, run) in self.running() {
-            self.event_soon(&name, run, Event::Catalog(Arc::clone(&catalog)));
+            self.schedule_event(&name, run, Event::Catalog(Arc::clone(&catalog)));
         }
     }
 
-    /// Changes what the platform lists.
-    pub(crate) fn list(&mut self, name: &str, state: Option<VmState>) {
+    /// Sets the state of a VM in the platform's list; `None` removes the VM from it.
+    pub(crate) fn set_listed(&mut self, name: &str, state: Option<VmState>) {
         match state {
             Some(state) => self.listed.insert(name.to_owned(), state),
             None => self.listed.remove(name),
         };
     }
 
-    /// The VM whose daemon owns an endpoint at the moment, by its own belief.
+    /// Returns the VM whose daemon considers itself the owner of an endpoint; `None` if there is
+    /// none.
     pub(crate) fn owner_of(&self, endpoint: &str) -> Option<VmName> {
         let endpoint = EndpointName::from(endpoint);
-        let owns = |vm: &Vm| vm.is_alive && vm.node.owns(&endpoint);
+        let owns = |vm: &Vm| vm.is_alive && vm.control.owns(&endpoint);
         self.vms.iter().find(|(_, vm)| owns(vm)).map(|(name, _)| name.clone())
     }
 
-    /// The chain of owners of an engine, as a daemon computes it.
+    /// Returns the chain of an engine, as a daemon computes it.
     pub(crate) fn chain(&self, vm: &VmName, engine: &str) -> Vec<VmName> {
-        let row = self.vms[vm].node.membership().row();
+        let row = self.vms[vm].control.membership().row();
         row.chain(&EndpointName::from(engine)).into_iter().cloned().collect()
     }
 
-    /// The epoch that a daemon has read last.
+    /// Returns the epoch that a daemon has read last.
     pub(crate) fn epoch(&self, vm: &str) -> u64 {
-        self.vms[vm].node.membership().row().epoch
+        self.vms[vm].control.membership().row().epoch
     }
 
-    /// What each daemon believes of an endpoint, for the message of a failed check.
+    /// Describes what each daemon knows of an endpoint, for the message of a failed check.
     pub(crate) fn describe(&self, endpoint: &str) -> String {
         let describe = |(name, vm): (&VmName, &Vm)| {
-            let position = vm.node.chain_positions().get(endpoint);
+            let position = vm.control.chain_positions().get(endpoint);
             let position = position.map(|position| {
                 (position.epoch, position.rank, position.owned_endpoint().map(|o| o.fence()))
             });
-            let epoch = vm.node.membership().row().epoch;
+            let epoch = vm.control.membership().row().epoch;
             format!("{name}: alive {}, epoch {epoch}, position {position:?}", vm.is_alive)
         };
         self.vms.iter().map(describe).collect::<Vec<_>>().join("; ")
     }
 
-    /// Asks a daemon for a permit, as an entry daemon would.
+    /// Requests a permit from a daemon, as an entry daemon would.
     pub(crate) fn request_permit(
         &mut self,
         vm: &str,
@@ -260,7 +262,7 @@
         self.submit(vm, request)
     }
 
-    /// Asks a daemon for a permit; the ask gets a ticket of its own.
+    /// Sends a permit request to a daemon under a new ticket and returns the ticket.
     pub(crate) fn submit(&mut self, vm: &str, mut request: PermitRequest) -> Ticket {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
@@ -268,11 +270,11 @@
         self.requests.insert(ticket, request.clone());
         let name = VmName::from(vm);
         let run = self.vms[&name].run;
-        self.event_soon(&name, run, Event::PermitRequested(request));
+        self.schedule_event(&name, run, Event::PermitRequested(request));
         ticket
     }
 
-    /// Lets time go on.
+    /// Runs the simulation for a time.
     pub(crate) fn run_for(&mut self, time_ms: u64) {
         let end_ms = self.now_ms + time_ms;
         while let Some((at_ms, scheduled)) = self.queue.pop_before(end_ms) {
@@ -282,36 +284,36 @@
         self.now_ms = end_ms;
     }
 
-    /// A random number below a bound.
+    /// Returns a random number below a bound.
     pub(crate) fn random(&mut self, below: u64) -> u64 {
         self.rng.u64(..below.max(1))
     }
 
-    /// Every VM name.
+    /// Returns the names of all VMs.
     pub(crate) fn vm_names(&self) -> Vec<String> {
         self.vms.keys().map(ToString::to_string).collect()
     }
 
-    /// Whether a VM's daemon runs.
+    /// Returns whether the daemon of a VM runs.
     pub(crate) fn is_alive(&self, vm: &str) -> bool {
         self.vms[vm].is_alive
     }
 
-    /// The domain of a VM.
+    /// Returns the failure domain of a VM.
     pub(crate) fn domain_of(&self, vm: &str) -> String {
         self.vms[vm].domain.to_string()
     }
 
     fn vm(&mut self, name: &str) -> &mut Vm {
-        self.vms.get_mut(name).expect("the simulation has the VM")
+        self.vms.get_mut(name).expect("the simulation contains the VM")
     }
 
     fn engine(&mut self, name: &EndpointName) -> &mut Engine {
-        self.engines.get_mut(name).expect("the simulation has the engine")
+        self.engines.get_mut(name).expect("the simulation contains the engine")
     }
 }
 
-/// Shorter intervals than by default, so that more happens in a run.
+/// Returns shorter intervals than the defaults, so that more happens in a run.
 pub(crate) fn timing() -> Timing {
     Timing {
         lease_ms: 500,
@@ -328,7 +330,8 @@
     }
 }
 
-/// Three engines of two domains and five models, one engine of them ignoring numbers.
+/// Returns a catalog of three engines in two domains, one of which ignores fencing numbers, and
+/// five models.
 pub(crate) fn catalog() -> Catalog {
     let engine = |domain: &str, fencing: Fencing| EngineSpec {
         domain: domain.into(),
@@ -364,8 +367,8 @@
     catalog.at_version(1, &Catalog::default())
 }
 
-/// Models that the table holds as placed at an endpoint, in both of its rows.
-pub(crate) fn decided_in(
+/// Returns the models that the table records as replicas at an endpoint.
+pub(crate) fn recorded_in(
     rows: &BTreeMap<RowKey, Row>,
     endpoint: &EndpointName,
 ) -> BTreeSet<ModelName> {
--- a/crates/trestle-core/tests/simulation/queue.rs
+++ b/crates/trestle-core/tests/simulation/queue.rs
@@ -1,8 +1,8 @@
-//! What is still to happen, in order of time.
+//! Queue of scheduled events.
 
 use std::collections::BTreeMap;
 
-/// What is still to happen; things at one time happen in the order they were added.
+/// Queue of items that are scheduled for a time; items of the same time keep their order.
 pub(crate) struct Queue<T> {
     items: BTreeMap<(u64, u64), T>,
     added: u64,
--- a/crates/trestle-core/tests/simulation/table.rs
+++ b/crates/trestle-core/tests/simulation/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table.
+//! Simulated table of the platform.
 
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::{
@@ -7,7 +7,7 @@
     row::{CommitOutcome, Row, RowKey, Rows, Txn, Versioned},
 };
 
-/// The platform's table; it checks what its rows say after each write.
+/// Simulated table of the platform, which checks its rows after each write.
 #[derive(Default)]
 pub(crate) struct Table {
     rows: BTreeMap<RowKey, Row>,
@@ -43,12 +43,12 @@
         CommitOutcome::Committed
     }
 
-    /// Models decided to be at an endpoint.
-    pub(crate) fn decided_models(&self, endpoint: &EndpointName) -> BTreeSet<ModelName> {
-        super::decided_in(&self.rows, endpoint)
+    /// Returns the models that are recorded as replicas at an endpoint.
+    pub(crate) fn recorded_models(&self, endpoint: &EndpointName) -> BTreeSet<ModelName> {
+        super::recorded_in(&self.rows, endpoint)
     }
 
-    /// Replicas decided for a model.
+    /// Returns the number of recorded replicas of a model.
     pub(crate) fn replicas(&self, model: &str) -> usize {
         match self.rows.get(&RowKey::Model(model.into())) {
             Some(Row::Model(row)) => row.replicas.len(),
@@ -56,8 +56,8 @@
         }
     }
 
-    /// No model has more replicas than the most it was ever allowed, and no endpoint
-    /// that ignores numbers more placed than fits.
+    /// Checks that no model has more replicas than the largest limit of any configuration, and that
+    /// the placements at an endpoint that ignores fencing numbers fit into its memory together.
     fn check(&self, catalog: &Catalog) {
         for (key, row) in &self.rows {
             match (key, row) {
@@ -68,7 +68,7 @@
                     let spec = &catalog.engines[endpoint];
                     let fits = row.memory_bytes() <= spec.memory_bytes;
                     let is_checked = spec.fencing == Fencing::Checked;
-                    assert!(is_checked || fits, "{endpoint} has more placed than fits: {row:?}");
+                    assert!(is_checked || fits, "the placements at {endpoint} do not fit: {row:?}");
                 }
                 _ => {}
             }
--- a/crates/trestle-policy/src/main.rs
+++ b/crates/trestle-policy/src/main.rs
@@ -1,7 +1,7 @@
 //! Prints the tables of both deployments and draws their plots.
 
 use std::{error::Error, path::PathBuf, process::ExitCode};
-use trestle_policy::{day, report};
+use trestle_policy::{report, workload};
 
 const HELP: &str = "\
 trestle-policy: weighs tail cold-start time against idle accelerator hours
@@ -34,8 +34,8 @@
     let seed = args.opt_value_from_str("--seed")?.unwrap_or(1);
     let plots: Option<PathBuf> = args.opt_value_from_str("--plots")?;
     let deployments = [
-        ("fleet", "The fleet's ninth day", day::fleet(seed)),
-        ("herbarium", "The herbarium's year", day::herbarium(seed)),
+        ("fleet", "The fleet's ninth day", workload::fleet(seed)),
+        ("herbarium", "The herbarium's year", workload::herbarium(seed)),
     ];
     for (name, title, deployment) in deployments {
         let rows = report::rows(&deployment);
--- a/crates/trestle-policy/src/policy.rs
+++ b/crates/trestle-policy/src/policy.rs
@@ -1,39 +1,39 @@
-//! Ways to decide how long a model is kept loaded.
+//! Policies that decide how long a model stays loaded.
 
-use crate::day::ModelDay;
+use crate::workload::ModelWorkload;
 use trestle_core::keep::{Gaps, KeepPrice};
 
-/// A way to decide how long a model is kept loaded.
+/// Policy that decides how long a model stays loaded.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum Policy {
-    /// The same time for every model.
+    /// The same keep time for every model.
     Fixed {
-        /// The time; `u64::MAX` never unloads.
+        /// Keep time; with `u64::MAX`, models are never unloaded.
         keep_ms: u64,
     },
-    /// By price, from each model's own gaps, as the daemon does it.
+    /// The keep time of least cost over each model's own gaps, as the daemon determines it.
     Price {
         /// Idle time that one unit of waiting is worth.
         idle_per_wait: u64,
-        /// Whether declared windows are honoured.
+        /// Whether models are kept loaded in their declared windows.
         windows: bool,
-        /// Whether habits are learnt.
-        habits: bool,
+        /// Whether models are kept loaded when their usage profiles expect requests.
+        usage_profiles: bool,
     },
-    /// Knows when the next request comes, and keeps the model until then if that is cheaper.
+    /// Knowledge of the next request: the model stays loaded until then if that is cheaper.
     Foresight {
         /// Idle time that one unit of waiting is worth.
         idle_per_wait: u64,
     },
 }
 
-/// Keep time while too few gaps are known.
+/// Keep time until enough gaps were counted.
 const DECLARED_KEEP_MS: u64 = 120_000;
 
 impl Policy {
-    /// How long the model is kept after a request.
-    pub fn keep_ms(&self, model: &ModelDay, gaps: &Gaps, next_gap_ms: u64) -> u64 {
+    /// Returns how long the model stays loaded after a request.
+    pub fn keep_ms(&self, model: &ModelWorkload, gaps: &Gaps, next_gap_ms: u64) -> u64 {
         match self {
             Self::Fixed { keep_ms } => *keep_ms,
             Self::Price { idle_per_wait, .. } => {
@@ -48,36 +48,38 @@
         }
     }
 
-    /// Whether the model is kept loaded in its declared windows.
+    /// Returns whether models are kept loaded in their declared windows.
     pub fn honours_windows(&self) -> bool {
         matches!(self, Self::Price { windows: true, .. })
     }
 
-    /// The price by which habits decide, if they do.
-    pub fn habit_price(&self, model: &ModelDay) -> Option<KeepPrice> {
+    /// Returns the costs by which usage profiles decide; `None` if the policy uses no profiles.
+    pub fn usage_profile_costs(&self, model: &ModelWorkload) -> Option<KeepPrice> {
         match self {
-            Self::Price { idle_per_wait, habits: true, .. } => Some(price(model, *idle_per_wait)),
+            Self::Price { idle_per_wait, usage_profiles: true, .. } => {
+                Some(price(model, *idle_per_wait))
+            }
             _ => None,
         }
     }
 
-    /// A short name.
+    /// Returns a short name for tables.
     pub fn name(&self) -> String {
         match self {
             Self::Fixed { keep_ms: 0 } => "unload at once".to_owned(),
             Self::Fixed { keep_ms: u64::MAX } => "never unload".to_owned(),
             Self::Fixed { keep_ms } => format!("fixed {} s", keep_ms / 1_000),
-            Self::Price { idle_per_wait, windows, habits } => {
+            Self::Price { idle_per_wait, windows, usage_profiles } => {
                 let windows = if *windows { ", windows" } else { "" };
-                let habits = if *habits { ", habits" } else { "" };
-                format!("price {idle_per_wait}{windows}{habits}")
+                let usage_profiles = if *usage_profiles { ", habits" } else { "" };
+                format!("price {idle_per_wait}{windows}{usage_profiles}")
             }
             Self::Foresight { idle_per_wait } => format!("foresight {idle_per_wait}"),
         }
     }
 }
 
-fn price(model: &ModelDay, idle_per_wait: u64) -> KeepPrice {
+fn price(model: &ModelWorkload, idle_per_wait: u64) -> KeepPrice {
     KeepPrice {
         load_ms: model.load_ms,
         idle_per_wait,
--- a/crates/trestle-policy/src/report.rs
+++ b/crates/trestle-policy/src/report.rs
@@ -1,9 +1,9 @@
-//! Tables and plots.
+//! Tables and plots of the results.
 
 use crate::{
-    day::{Deployment, MINUTE_MS, SECOND_MS},
     policy::Policy,
     simulate::{Outcome, simulate},
+    workload::{Deployment, MINUTE_MS, SECOND_MS},
 };
 use plotters::prelude::*;
 use std::{error::Error, fmt::Write, path::Path};
@@ -23,17 +23,21 @@
     240 * MINUTE_MS,
     u64::MAX,
 ];
-/// Prices that are compared.
+/// Values of the idle time per unit of waiting that are compared.
 pub const PRICES: [u64; 8] = [2, 5, 10, 20, 50, 100, 200, 500];
 
-/// One row of a table.
+/// One row of a table: a policy and its outcome.
 pub type Row = (Policy, Outcome);
 
-/// Every policy over a deployment.
+/// Simulates every policy on a deployment and returns the outcomes.
 pub fn rows(deployment: &Deployment) -> Vec<Row> {
     let fixed = FIXED_MS.iter().map(|keep_ms| Policy::Fixed { keep_ms: *keep_ms });
-    let priced = |windows, habits| {
-        PRICES.iter().map(move |price| Policy::Price { idle_per_wait: *price, windows, habits })
+    let priced = |windows, usage_profiles| {
+        PRICES.iter().map(move |price| Policy::Price {
+            idle_per_wait: *price,
+            windows,
+            usage_profiles,
+        })
     };
     let foresight = PRICES.iter().map(|price| Policy::Foresight { idle_per_wait: *price });
     let all = fixed
@@ -44,7 +48,7 @@
     all.map(|policy| (policy, simulate(deployment, &policy))).collect()
 }
 
-/// A table of rows, in Markdown.
+/// Formats the rows as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = String::from(
         "| policy | cold of first requests | p50 s | p90 s | p99 s | wait in all, h | idle h |\n\
@@ -68,13 +72,13 @@
     text
 }
 
-/// Draws what all first requests waited together against idle hours.
+/// Draws the total waiting time of first requests against idle hours.
 ///
-/// The 99th percentile, in the tables, moves in steps and makes no curve.
+/// The tables show the 99th percentile instead, which changes in steps and yields no curve.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn plot(path: &Path, title: &str, rows: &[Row]) -> Result<(), Box<dyn Error>> {
     let most_idle = rows
         .iter()
@@ -119,10 +123,10 @@
         ("fixed keep time", BLUE, |policy| matches!(policy, Policy::Fixed { .. })),
         ("price", GREEN, |policy| matches!(policy, Policy::Price { windows: false, .. })),
         ("price and windows", MAGENTA, |policy| {
-            matches!(policy, Policy::Price { windows: true, habits: false, .. })
+            matches!(policy, Policy::Price { windows: true, usage_profiles: false, .. })
         }),
         ("price, windows and habits", RED, |policy| {
-            matches!(policy, Policy::Price { habits: true, .. })
+            matches!(policy, Policy::Price { usage_profiles: true, .. })
         }),
         ("foresight", BLACK, |policy| matches!(policy, Policy::Foresight { .. })),
     ]
--- a/crates/trestle-policy/src/simulate.rs
+++ b/crates/trestle-policy/src/simulate.rs
@@ -1,8 +1,8 @@
-//! A deployment under a policy, in virtual time.
+//! Simulation of a deployment under a policy, in virtual time.
 
 use crate::{
-    day::{Deployment, HOUR_MS, MINUTE_MS, ModelDay, civil},
     policy::Policy,
+    workload::{Deployment, HOUR_MS, MINUTE_MS, ModelWorkload, civil},
 };
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
@@ -11,79 +11,79 @@
     usage_profile::{BIN_MS, Bin, UsageProfile},
 };
 
-/// Gap after which a request counts as a first one.
-const FIRST_AFTER_MS: u64 = MINUTE_MS;
-/// Time between two starts of loads at the weight store.
+/// Gap since the previous request after which a request counts as a first one.
+const FIRST_REQUEST_GAP_MS: u64 = MINUTE_MS;
+/// Interval between two starts of loads at the weight store.
 const START_INTERVAL_MS: u64 = 333;
-/// Loads that the weight store serves at full speed.
+/// Number of concurrent loads that the weight store serves at full speed.
 const FULL_SPEED_LOADS: u64 = 4;
-const DIGITS: u8 = 3;
+const HISTOGRAM_DIGITS: u8 = 3;
 
-/// What a policy has led to.
+/// Outcome of a policy.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct Outcome {
-    /// First requests.
+    /// Number of first requests.
     pub first_requests: u64,
-    /// Those of them that found their model not loaded.
+    /// Number of first requests that found their model not loaded.
     pub cold: u64,
-    /// Cold wait of the median first request.
+    /// Median of the cold wait of first requests.
     pub p50_ms: u64,
-    /// Cold wait that 90 in 100 first requests stay within.
+    /// 90th percentile of the cold wait of first requests.
     pub p90_ms: u64,
-    /// Cold wait that 99 in 100 first requests stay within.
+    /// 99th percentile of the cold wait of first requests.
     pub p99_ms: u64,
-    /// Cold wait of all first requests together.
+    /// Total cold wait of all first requests.
     pub total_wait_ms: u64,
     /// Idle accelerator time.
     pub idle_ms: u64,
 }
 
 impl Outcome {
-    /// Idle accelerator hours.
+    /// Returns the idle accelerator time in hours.
     pub fn idle_hours(&self) -> f64 {
         self.idle_ms as f64 / HOUR_MS as f64
     }
 }
 
 /// A request that finds its model not loaded.
-struct Cold {
+struct ColdStart {
     at_ms: u64,
     urgency: u8,
     load_ms: u64,
     is_measured: bool,
 }
 
-/// Runs a deployment under a policy.
+/// Simulates a deployment under a policy and returns the outcome.
 pub fn simulate(deployment: &Deployment, policy: &Policy) -> Outcome {
-    let mut colds = Vec::new();
+    let mut cold_starts = Vec::new();
     let mut idle_ms = 0;
     let mut first_requests = 0;
     for model in &deployment.models {
-        let lived = live(model, deployment, policy, &mut colds);
-        idle_ms += lived.idle_ms;
-        first_requests += lived.first_requests;
+        let outcome = simulate_model(model, deployment, policy, &mut cold_starts);
+        idle_ms += outcome.idle_ms;
+        first_requests += outcome.first_requests;
     }
-    let waits = waits(colds);
+    let waits = waits(cold_starts);
     summary(first_requests, &waits, idle_ms)
 }
 
-/// What one model's time has come to.
+/// Outcome for one model.
 #[derive(Default)]
-struct Lived {
+struct ModelOutcome {
     idle_ms: u64,
     first_requests: u64,
 }
 
-fn live(
-    model: &ModelDay,
+fn simulate_model(
+    model: &ModelWorkload,
     deployment: &Deployment,
     policy: &Policy,
-    colds: &mut Vec<Cold>,
-) -> Lived {
-    let mut lived = Lived::default();
+    cold_starts: &mut Vec<ColdStart>,
+) -> ModelOutcome {
+    let mut outcome = ModelOutcome::default();
     let mut gaps = Gaps::default();
-    let expected = expected_times(model, deployment, policy);
+    let expected = expected_spans(model, deployment, policy);
     let mut last_ms = None;
     let from_ms = deployment.measured_from_ms;
     for at_ms in model.requests_ms.iter().copied() {
@@ -92,15 +92,15 @@
         let kept =
             last_ms.map_or((0, 0), |last_ms: u64| (last_ms, last_ms.saturating_add(keep_ms)));
         let since_ms = last_ms.unwrap_or(0);
-        lived.idle_ms += idle_within(model, &expected, kept, since_ms.max(from_ms), at_ms);
-        let is_loaded = at_ms < kept.1 || is_within(&expected, at_ms);
+        outcome.idle_ms += idle_within(model, &expected, kept, since_ms.max(from_ms), at_ms);
+        let is_loaded = at_ms < kept.1 || is_in_span(&expected, at_ms);
         let is_measured = at_ms >= from_ms;
-        let is_first = gap_ms > FIRST_AFTER_MS;
-        lived.first_requests += u64::from(is_first && is_measured);
+        let is_first = gap_ms > FIRST_REQUEST_GAP_MS;
+        outcome.first_requests += u64::from(is_first && is_measured);
         if !is_loaded {
             let (urgency, load_ms) = (model.urgency, model.load_ms);
             let is_measured = is_first && is_measured;
-            colds.push(Cold { at_ms, urgency, load_ms, is_measured });
+            cold_starts.push(ColdStart { at_ms, urgency, load_ms, is_measured });
         }
         if last_ms.is_some() && gap_ms > model.load_ms {
             gaps.record(gap_ms);
@@ -110,20 +110,25 @@
     let last_ms = last_ms.unwrap_or(0);
     let kept = (last_ms, last_ms.saturating_add(policy.keep_ms(model, &gaps, u64::MAX)));
     let end_ms = deployment.end_ms;
-    lived.idle_ms += idle_within(model, &expected, kept, last_ms.max(from_ms), end_ms);
-    lived
+    outcome.idle_ms += idle_within(model, &expected, kept, last_ms.max(from_ms), end_ms);
+    outcome
 }
 
-/// Spans in which the model is kept loaded whether requests come or not, in order.
-fn expected_times(model: &ModelDay, deployment: &Deployment, policy: &Policy) -> Vec<(u64, u64)> {
-    let mut habits = UsageProfile::default();
+/// Returns the spans of time in which the model is kept loaded independently of requests, in
+/// ascending order.
+fn expected_spans(
+    model: &ModelWorkload,
+    deployment: &Deployment,
+    policy: &Policy,
+) -> Vec<(u64, u64)> {
+    let mut profile = UsageProfile::default();
     let mut spans: Vec<(u64, u64)> = Vec::new();
     let mut requests = model.requests_ms.iter().copied().peekable();
     for bin_ms in (0..deployment.end_ms).step_by(BIN_MS as usize) {
         let end_ms = bin_ms + BIN_MS;
         let bin = Bin::of(civil(bin_ms));
         let by_habit =
-            policy.habit_price(model).is_some_and(|price| habits.is_expected(bin, &price));
+            policy.usage_profile_costs(model).is_some_and(|price| profile.is_expected(bin, &price));
         let is_open = |at_ms| model.windows.iter().any(|window| window.is_open(civil(at_ms)));
         let by_window = policy.honours_windows() && (is_open(bin_ms) || is_open(end_ms - 1));
         if by_habit || by_window {
@@ -132,18 +137,18 @@
                 None => spans.push((bin_ms.saturating_sub(model.load_ms), end_ms)),
             }
         }
-        let mut came = false;
+        let mut was_requested = false;
         while requests.next_if(|at_ms| *at_ms < end_ms).is_some() {
-            came = true;
+            was_requested = true;
         }
-        habits.record(bin, came);
+        profile.record(bin, was_requested);
     }
     spans
 }
 
-/// Idle time from one request to the next, as a share of the accelerator.
+/// Returns the idle time between two requests, as a share of the accelerator.
 fn idle_within(
-    model: &ModelDay,
+    model: &ModelWorkload,
     expected: &[(u64, u64)],
     kept: (u64, u64),
     from_ms: u64,
@@ -161,18 +166,18 @@
     (kept_ms + expected_ms) * model.share_percent / 100
 }
 
-fn is_within(expected: &[(u64, u64)], at_ms: u64) -> bool {
+fn is_in_span(expected: &[(u64, u64)], at_ms: u64) -> bool {
     let first = expected.partition_point(|span| span.1 <= at_ms);
     expected.get(first).is_some_and(|span| span.0 <= at_ms)
 }
 
-/// What each measured first request waits, with the weight store shared between loads.
-fn waits(mut colds: Vec<Cold>) -> Vec<u64> {
-    colds.sort_by_key(|cold| (cold.at_ms, cold.urgency));
+/// Returns the wait of each measured first request, with the weight store shared between loads.
+fn waits(mut cold_starts: Vec<ColdStart>) -> Vec<u64> {
+    cold_starts.sort_by_key(|cold| (cold.at_ms, cold.urgency));
     let mut next_start_ms = 0;
     let mut running_until_ms: BTreeSet<(u64, usize)> = BTreeSet::new();
     let mut waits = Vec::new();
-    for (index, cold) in colds.iter().enumerate() {
+    for (index, cold) in cold_starts.iter().enumerate() {
         let start_ms = cold.at_ms.max(next_start_ms);
         next_start_ms = start_ms + START_INTERVAL_MS;
         running_until_ms.retain(|(until_ms, _)| *until_ms > start_ms);
@@ -187,9 +192,10 @@
 }
 
 fn summary(first_requests: u64, waits: &[u64], idle_ms: u64) -> Outcome {
-    let mut histogram: Histogram<u64> = Histogram::new(DIGITS).expect("three digits are allowed");
+    let mut histogram: Histogram<u64> =
+        Histogram::new(HISTOGRAM_DIGITS).expect("three digits are allowed");
     for wait_ms in waits {
-        // Growing fails only for values past any time that a run can take.
+        // The histogram grows as needed; recording fails only for values longer than any run.
         let _ = histogram.record(*wait_ms);
     }
     let warm = first_requests - waits.len() as u64;
--- a/crates/trestle-policy/src/day.rs
+++ b/crates/trestle-policy/src/workload.rs
@@ -1,14 +1,14 @@
-//! Requests of the two deployments, generated from a seed.
+//! Workloads of the two deployments, generated from a seed.
 
 use trestle_core::window::{CivilTime, Window};
 
-/// Milliseconds of a second, a minute, an hour and a day.
+/// Length of a second in milliseconds.
 pub const SECOND_MS: u64 = 1_000;
-/// See [`SECOND_MS`].
+/// Length of a minute in milliseconds.
 pub const MINUTE_MS: u64 = 60 * SECOND_MS;
-/// See [`SECOND_MS`].
+/// Length of an hour in milliseconds.
 pub const HOUR_MS: u64 = 60 * MINUTE_MS;
-/// See [`SECOND_MS`].
+/// Length of a day in milliseconds.
 pub const DAY_MS: u64 = 24 * HOUR_MS;
 
 const WEEKDAYS: u8 = 0b001_1111;
@@ -22,43 +22,43 @@
 /// All requests of a deployment.
 #[trestle_macros::plain]
 pub struct Deployment {
-    /// Its models.
-    pub models: Vec<ModelDay>,
-    /// Where the measured time begins; what comes before is only learnt from.
+    /// Models of the deployment, with their requests.
+    pub models: Vec<ModelWorkload>,
+    /// Start of the measured time; earlier requests only train the policies.
     pub measured_from_ms: u64,
-    /// Where everything ends.
+    /// End of the workload.
     pub end_ms: u64,
 }
 
 /// One model with its requests.
 #[trestle_macros::plain]
-pub struct ModelDay {
-    /// Time that a load takes alone.
+pub struct ModelWorkload {
+    /// Time of a load when no other load runs.
     pub load_ms: u64,
     /// Share of an accelerator's memory, in percent.
     pub share_percent: u64,
-    /// 0 for the most urgent.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
     /// Declared windows.
     pub windows: Vec<Window>,
-    /// Times of requests, in order.
+    /// Times of the requests, in ascending order.
     pub requests_ms: Vec<u64>,
 }
 
-/// How requests to a model come.
+/// Pattern of the requests to a model.
 #[derive(Clone, Copy)]
 struct Pattern {
-    /// When there are any.
+    /// Time in which sessions begin.
     window: Window,
-    /// Time between two sessions on average.
+    /// Average time between two sessions.
     session_gap_ms: u64,
-    /// Requests of a session, at most.
+    /// Maximum number of requests of a session.
     session_requests: u64,
-    /// Time between two requests of a session, at most.
+    /// Longest time between two requests of a session.
     request_gap_ms: u64,
 }
 
-/// The moment as clocks show it; every month has 30 days, and day 0 is a Monday in January.
+/// Returns the local time at a moment; every month has 30 days, and day 0 is a Monday in January.
 pub fn civil(at_ms: u64) -> CivilTime {
     let day = at_ms / DAY_MS;
     CivilTime {
@@ -68,7 +68,7 @@
     }
 }
 
-/// The fleet: nine days, the last of which is measured.
+/// Returns the workload of the fleet: nine days, the last of which is measured.
 pub fn fleet(seed: u64) -> Deployment {
     let mut rng = fastrand::Rng::with_seed(seed);
     let end_ms = 9 * DAY_MS;
@@ -79,21 +79,22 @@
     for index in 0..50_u64 {
         let (size_gib, urgency, windows, patterns): (u64, u8, Vec<Window>, Vec<Pattern>) =
             match index % 10 {
-                // Riders at the curb: two rushes, and little in between.
+                // Models for riders at the curb: two rushes a day, and few requests in between.
                 0 | 1 => {
-                    let often = |window| pattern(window, 3 + index / 10, 6, 20);
-                    let mut patterns: Vec<Pattern> = rush.iter().map(|w| often(*w)).collect();
+                    let rush_pattern = |window| pattern(window, 3 + index / 10, 6, 20);
+                    let mut patterns: Vec<Pattern> =
+                        rush.iter().map(|w| rush_pattern(*w)).collect();
                     patterns.push(pattern(day, 90, 3, 20));
                     (14, 0, rush.to_vec(), patterns)
                 }
-                // Receipts, batteries, tickets: all day, each at its own pace.
+                // Models for receipts, batteries and tickets: all day, each at its own rate.
                 2..=4 | 7 => {
                     let minutes = 4 << (index / 10);
                     (7, 1, Vec::new(), vec![pattern(day, minutes, 4, 30)])
                 }
-                // Planners: at night.
+                // Models for planners: at night.
                 5 | 6 => (28, 2, vec![night], vec![pattern(night, 12, 3, 60)]),
-                // Photos: a few times a day.
+                // Models for photos: a few times a day.
                 _ => (14, 1, Vec::new(), vec![pattern(day, 400, 5, 40)]),
             };
         let requests_ms = requests(&patterns, end_ms, &mut rng);
@@ -102,7 +103,7 @@
     Deployment { models, measured_from_ms: 8 * DAY_MS, end_ms }
 }
 
-/// The herbarium: a year, all but its first month measured.
+/// Returns the workload of the herbarium: a year, of which all but the first month is measured.
 pub fn herbarium(seed: u64) -> Deployment {
     let mut rng = fastrand::Rng::with_seed(seed);
     let end_ms = 360 * DAY_MS;
@@ -111,7 +112,7 @@
     let january = window(WEEKDAYS, JANUARY, 8, 18);
     let mut models = Vec::new();
     for index in 0..50_u64 {
-        let seldom = (index * 37) % 330;
+        let first_burst_day = (index * 37) % 330;
         let (size_gib, urgency, windows, patterns): (u64, u8, Vec<Window>, Vec<Pattern>) =
             match index {
                 // Labels, for curators during the working day.
@@ -120,11 +121,11 @@
                 4..=6 => (3, 0, vec![], vec![pattern(office, 45, 3, 20)]),
                 // Determination reviews, overnight.
                 7..=9 => (14, 2, vec![evening], vec![pattern(evening, 30, 4, 90)]),
-                // The loan batch in January.
+                // The batch of loans in January.
                 10..=19 => (14, 1, vec![january], vec![pattern(january, 8, 10, 30)]),
-                // Everything else: a burst of three days a few times a year.
+                // All other models: bursts of three days a few times a year.
                 _ => {
-                    let bursts = (0..3).map(|burst| (seldom + burst * 110) % 355);
+                    let bursts = (0..3).map(|burst| (first_burst_day + burst * 110) % 355);
                     let patterns = bursts.flat_map(|day| burst_of(day, index)).collect();
                     (7, 1, vec![], patterns)
                 }
@@ -135,7 +136,7 @@
     Deployment { models, measured_from_ms: DAYS_A_MONTH * DAY_MS, end_ms }
 }
 
-/// Three days of work in the month of a day.
+/// Returns the pattern of a burst in the month that contains the day.
 fn burst_of(day: u64, index: u64) -> Vec<Pattern> {
     let months = 1 << ((day / DAYS_A_MONTH) % 12);
     let weekday = 1 << (index % 5);
@@ -160,8 +161,8 @@
     }
 }
 
-fn model(size_gib: u64, urgency: u8, windows: Vec<Window>, requests_ms: Vec<u64>) -> ModelDay {
-    ModelDay {
+fn model(size_gib: u64, urgency: u8, windows: Vec<Window>, requests_ms: Vec<u64>) -> ModelWorkload {
+    ModelWorkload {
         load_ms: 4_000 + size_gib * 250,
         share_percent: size_gib * 100 / ACCELERATOR_GIB,
         urgency,
@@ -192,7 +193,7 @@
     requests_ms
 }
 
-/// Whether the window itself is open, without the time before it.
+/// Returns whether the window itself is open, without the lead time before it.
 fn is_within(window: Window, at_ms: u64) -> bool {
     let time = civil(at_ms);
     window.is_open(time) && time.minute >= window.from_minute
