--- a/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
+++ b/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
@@ -9,10 +9,10 @@
 use trestle_core::names::DomainName;
 use trestle_dispatch::{
     backpressure::{Answer, Backpressure},
-    endpoint::Life,
-    endpoint_limits::{EndpointLimits, Place},
-    lender::HeldLease,
-    notice::{Notice, Said},
+    endpoint::Incarnation,
+    endpoint_limits::{EndpointLimits, SendPermit},
+    quota_allocator::HeldLease,
+    signals::{EndpointSignals, HeaderField},
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -64,8 +64,8 @@
     random: Rng,
 }
 
-fn life() -> Life {
-    Life { name: "i-1".into(), born_ms: 7 }
+fn incarnation() -> Incarnation {
+    Incarnation { name: "i-1".into(), started_unix_ms: 7 }
 }
 
 impl World {
@@ -174,10 +174,12 @@
     fn ask_place(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
         let backpressure = &mut self.daemons[index].backpressure;
-        if backpressure.closed_for_ms(&life(), now_ms).is_some() {
+        if backpressure.limit_closed_for_ms(&incarnation(), now_ms).is_some() {
             return false;
         }
-        let Some(heard) = backpressure.asking(&life(), now_ms) else { return false };
+        let Some(heard) = backpressure.permit_requested(&incarnation(), now_ms) else {
+            return false;
+        };
         self.questions += 1;
         let group = DomainName::from("z");
         let lease = HeldLease { token: self.token, until_ms: now_ms + 2_000 };
@@ -187,17 +189,25 @@
         let is_reached = now_ms >= self.daemons[self.leader].frozen_until_ms
             && (index == self.leader || now_ms >= cut_off_until_ms);
         let place = match is_reached {
-            true => self.limits.ask(&life(), &group, held, heard, now_ms),
-            false => Place::NotLending,
+            true => self.limits.request_permit(&incarnation(), &group, held, heard, now_ms),
+            false => SendPermit::NotLending,
         };
         let backpressure = &mut self.daemons[index].backpressure;
         match place {
-            Place::Lent => {
-                backpressure.hear(&life(), names(&notice(self.per_ks), now_ms), now_ms);
+            SendPermit::Lent => {
+                backpressure.apply_answer(
+                    &incarnation(),
+                    names(&notice(self.per_ks), now_ms),
+                    now_ms,
+                );
                 return true;
             }
-            Place::Refused { in_ms } => backpressure.refused(&life(), in_ms, now_ms),
-            Place::NotLending | Place::Lifted => backpressure.asked_in_vain(&life(), now_ms),
+            SendPermit::Refused { in_ms } => {
+                backpressure.permit_refused(&incarnation(), in_ms, now_ms)
+            }
+            SendPermit::NotLending | SendPermit::Lifted => {
+                backpressure.allocator_unreachable(&incarnation(), now_ms)
+            }
         }
         false
     }
@@ -218,7 +228,7 @@
     /// A daemon that has just started, and has heard of the limit.
     fn new(born_ms: u64, name: u64, per_ks: u64) -> Self {
         let mut backpressure = Backpressure::default();
-        backpressure.hear(&life(), names(&notice(per_ks), born_ms), born_ms);
+        backpressure.apply_answer(&incarnation(), names(&notice(per_ks), born_ms), born_ms);
         Self {
             born_ms,
             name,
@@ -231,12 +241,12 @@
     }
 }
 
-fn notice(per_ks: u64) -> Notice {
-    Notice { limit_per_ks: Said::Value(per_ks), ..Notice::default() }
+fn notice(per_ks: u64) -> EndpointSignals {
+    EndpointSignals { limit_per_ks: HeaderField::Value(per_ks), ..EndpointSignals::default() }
 }
 
-fn names(notice: &Notice, sent_ms: u64) -> Answer<'_> {
-    Answer { notice, is_success: true, id: "1", sent_ms }
+fn names(notice: &EndpointSignals, sent_ms: u64) -> Answer<'_> {
+    Answer { signals: notice, is_success: true, id: "1", sent_ms }
 }
 
 fn take_one(at_hand: &mut f64) -> bool {
--- a/crates/trestle-dispatch/examples/plan_time.rs
+++ b/crates/trestle-dispatch/examples/plan_time.rs
@@ -37,8 +37,8 @@
         address: ([127, 0, 0, 1], 9_000).into(),
         domain: format!("d{}", number % DOMAINS).into(),
         slots: 12,
-        is_leaving: false,
-        born_ms: 0,
+        is_draining: false,
+        started_unix_ms: 0,
         entry_number: 1,
         held,
         in_memory,
@@ -134,7 +134,7 @@
         for (endpoint, change, mut chain) in begun {
             chain.reported(None, now_ms);
             let _ = change;
-            state.change_ended(&endpoint.life(), &chain, now_ms);
+            state.change_ended(&endpoint.incarnation(), &chain, now_ms);
         }
     }
     println!("{} us a plan", planning_us / PLANS);
--- a/crates/trestle-dispatch/examples/quota_ways.rs
+++ b/crates/trestle-dispatch/examples/quota_ways.rs
@@ -7,8 +7,8 @@
 use fastrand::Rng;
 use trestle_core::names::TeamName;
 use trestle_dispatch::{
-    lender::{HeldLease, Lender, Loan},
     quota::{QuotaBounds, QuotaPlan},
+    quota_allocator::{Allocation, HeldLease, QuotaAllocator},
     team::{LimitUnit, TeamLimit},
 };
 
@@ -96,31 +96,31 @@
 fn asked_as_needed(all: &[Request], limit: &TeamLimit) -> Vec<bool> {
     let plan = QuotaPlan::new(limit, &BOUNDS, GROUPS);
     let team = TeamName::from("t");
-    let mut lenders: Vec<Lender> = (0..GROUPS).map(|_| Lender::default()).collect();
-    for (group, lender) in lenders.iter_mut().enumerate() {
+    let mut lenders: Vec<QuotaAllocator> = (0..GROUPS).map(|_| QuotaAllocator::default()).collect();
+    for (group, quota_allocator) in lenders.iter_mut().enumerate() {
         let lease = HeldLease { token: 1, until_ms: u64::MAX };
-        lender.set_leases(&[(format!("z{group}").into(), lease)].into(), 0);
+        quota_allocator.set_leases(&[(format!("z{group}").into(), lease)].into(), 0);
     }
     let each = all.iter().map(|request| {
         // Buckets are full when callers begin.
         let (own, now_ms) = (request.daemon % GROUPS, request.at_ms + 14_000);
         let units = request.units as u64;
-        let loan = lenders[own].lend(&team, units, &plan, now_ms);
-        if matches!(loan, Loan::Lent(_)) {
+        let loan = lenders[own].allocate(&team, units, &plan, now_ms);
+        if matches!(loan, Allocation::Lent(_)) {
             return true;
         }
-        let Some(wanted) = lenders[own].to_ask_others(&team, units, &plan, now_ms) else {
+        let Some(wanted) = lenders[own].units_to_request(&team, units, &plan, now_ms) else {
             return false;
         };
         let others = (0..GROUPS).filter(|other| *other != own);
         let given: u64 =
-            others.map(|other| lenders[other].give(&team, wanted, &plan, now_ms)).sum();
+            others.map(|other| lenders[other].transfer_out(&team, wanted, &plan, now_ms)).sum();
         if given == 0 {
-            lenders[own].nothing_given(&team, now_ms);
+            lenders[own].record_empty_transfer(&team, now_ms);
             return false;
         }
-        lenders[own].receive(&team, given, &plan, now_ms);
-        matches!(lenders[own].lend(&team, units, &plan, now_ms), Loan::Lent(_))
+        lenders[own].transfer_in(&team, given, &plan, now_ms);
+        matches!(lenders[own].allocate(&team, units, &plan, now_ms), Allocation::Lent(_))
     });
     each.collect()
 }
@@ -168,7 +168,7 @@
     for daemons in [6, 71, 300] {
         for per_s in [4_200, 30_000, 273_068] {
             for demand in [0.55, 6.0] {
-                let unit = LimitUnit::Tokens { of_plain: 200 };
+                let unit = LimitUnit::Tokens { default_tokens: 200 };
                 let limit = TeamLimit { unit, per_s, burst: per_s };
                 let mut line = format!("{daemons:>3} {per_s:>7} {demand:>4}:");
                 for way in 0..3 {
--- a/crates/trestle-dispatch/src/allowance.rs
+++ b/crates/trestle-dispatch/src/allowance.rs
@@ -67,7 +67,7 @@
     }
 
     /// Time for which nothing more is lent to a team, if it has nothing at hand.
-    pub fn spent_out_for_ms(&self, team: &TeamName, now_ms: u64) -> Option<u64> {
+    pub fn exhausted_for_ms(&self, team: &TeamName, now_ms: u64) -> Option<u64> {
         let allowance = self.by_team.get(team)?;
         let has_some = allowance.loans.iter().any(|part| now_ms < part.until_ms);
         let for_ms = allowance.spent_out_ms.saturating_sub(now_ms);
--- a/crates/trestle-dispatch/src/packed.rs
+++ b/crates/trestle-dispatch/src/compressed_text.rs
@@ -15,11 +15,11 @@
 
 /// A packed text.
 #[trestle_macros::plain]
-pub struct Packed(Arc<Vec<u8>>);
+pub struct CompressedText(Arc<Vec<u8>>);
 
-impl Packed {
+impl CompressedText {
     /// Packs a text.
-    pub fn of(text: &[u8]) -> Self {
+    pub fn compress(text: &[u8]) -> Self {
         let mut packed = Vec::new();
         // Reading from memory does not fail.
         let _ = DeflateEncoder::new(text, Compression::default()).read_to_end(&mut packed);
@@ -27,7 +27,7 @@
     }
 
     /// The text; `None` if it was not packed like this, or is too large.
-    pub fn text(&self) -> Option<Vec<u8>> {
+    pub fn decompress(&self) -> Option<Vec<u8>> {
         let mut text = Vec::new();
         let mut unpacked = DeflateDecoder::new(self.0.as_slice()).take(MOST_BYTES + 1);
         unpacked.read_to_end(&mut text).ok()?;
--- a/crates/trestle-dispatch/src/config_texts.rs
+++ b/crates/trestle-dispatch/src/config_texts.rs
@@ -1,7 +1,7 @@
 //! The configuration as the store holds it, kept for passing it on.
 
 use crate::{
-    packed::Packed,
+    compressed_text::CompressedText,
     text_delta::{TextPiece, text_delta},
 };
 use std::{
@@ -15,25 +15,25 @@
 
 /// What a daemon is told of the configuration.
 #[derive(Debug, Clone)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// Its text.
-    Whole(Packed),
+    Whole(CompressedText),
     /// What has changed since a version that the daemon has.
     Changes {
         /// That version.
         from: u64,
         /// What makes the new text out of it.
-        pieces: Arc<Vec<PackedPiece>>,
+        pieces: Arc<Vec<CompressedPiece>>,
     },
 }
 
 /// One part of a new text.
 #[derive(Debug, Clone)]
-pub enum PackedPiece {
+pub enum CompressedPiece {
     /// Bytes of the old text: where they begin, and how many.
     Kept(usize, usize),
     /// Bytes that are new.
-    New(Packed),
+    New(CompressedText),
 }
 
 /// The last configurations, by version.
@@ -42,15 +42,15 @@
     /// The oldest first.
     texts: VecDeque<(u64, Arc<Vec<u8>>)>,
     /// The newest, once somebody has asked for all of it.
-    whole: Option<Packed>,
+    whole: Option<CompressedText>,
     /// What has changed since older ones; none where that is no shorter. Worked out once for
     /// all daemons that ask.
-    deltas: BTreeMap<u64, Option<Arc<Vec<PackedPiece>>>>,
+    deltas: BTreeMap<u64, Option<Arc<Vec<CompressedPiece>>>>,
 }
 
 impl ConfigTexts {
     /// Takes a newer configuration.
-    pub fn take(&mut self, version: u64, text: Vec<u8>) {
+    pub fn add(&mut self, version: u64, text: Vec<u8>) {
         self.texts.push_back((version, Arc::new(text)));
         self.deltas.clear();
         self.whole = None;
@@ -65,7 +65,7 @@
     }
 
     /// What a daemon is told that has a version; nothing if that is the newest.
-    pub fn news(&mut self, have: u64) -> Option<ConfigNews> {
+    pub fn update_since(&mut self, have: u64) -> Option<ConfigUpdate> {
         let (newest, text) = self.texts.back()?;
         if *newest <= have {
             return None;
@@ -76,25 +76,29 @@
             delta.or_insert_with(|| text_delta(old, text).map(packed).map(Arc::new)).clone()
         });
         Some(match pieces {
-            Some(pieces) => ConfigNews::Changes { from: have, pieces },
-            None => ConfigNews::Whole(self.whole.get_or_insert_with(|| Packed::of(text)).clone()),
+            Some(pieces) => ConfigUpdate::Changes { from: have, pieces },
+            None => ConfigUpdate::Whole(
+                self.whole.get_or_insert_with(|| CompressedText::compress(text)).clone(),
+            ),
         })
     }
 }
 
-fn packed(pieces: Vec<TextPiece>) -> Vec<PackedPiece> {
+fn packed(pieces: Vec<TextPiece>) -> Vec<CompressedPiece> {
     let each = pieces.into_iter().map(|piece| match piece {
-        TextPiece::Kept { from, length } => PackedPiece::Kept(from, length),
-        TextPiece::New(bytes) => PackedPiece::New(Packed::of(&bytes)),
+        TextPiece::Kept { from, length } => CompressedPiece::Kept(from, length),
+        TextPiece::New(bytes) => CompressedPiece::New(CompressedText::compress(&bytes)),
     });
     each.collect()
 }
 
 /// The pieces of a text as they were before their way; `None` if they were packed otherwise.
-pub fn unpacked(pieces: &[PackedPiece]) -> Option<Vec<TextPiece>> {
+pub fn decompress_pieces(pieces: &[CompressedPiece]) -> Option<Vec<TextPiece>> {
     let each = pieces.iter().map(|piece| match piece {
-        PackedPiece::Kept(from, length) => Some(TextPiece::Kept { from: *from, length: *length }),
-        PackedPiece::New(packed) => packed.text().map(TextPiece::New),
+        CompressedPiece::Kept(from, length) => {
+            Some(TextPiece::Kept { from: *from, length: *length })
+        }
+        CompressedPiece::New(packed) => packed.decompress().map(TextPiece::New),
     });
     each.collect()
 }
--- a/crates/trestle-dispatch/src/crashes.rs
+++ b/crates/trestle-dispatch/src/crashes.rs
@@ -11,16 +11,16 @@
 //! shows that a request ends nothing. So that there can be one, a request is let through again
 //! after a while, which grows each time that an endpoint ends under it once more.
 
-use crate::{endpoint::Life, fingerprint::Fingerprint};
+use crate::{endpoint::Incarnation, fingerprint::Fingerprint};
 use std::collections::BTreeMap;
 
 /// Ends under one request from which on it is refused. With one less, 9 of 286 requests that
 /// only ran beside such a one would have been refused as well; with one more, it costs another
 /// endpoint with all that runs there.
-pub const MOST_ENDS: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// Ends from which on one attempt runs at a time: what ends endpoints then ends one more, not as
 /// many as its callers reach at once.
-const TRIED_ENDS: usize = MOST_ENDS - 1;
+const TRIED_ENDS: usize = MAX_CRASHES - 1;
 /// Time for which it is refused at first, from the last end on. What ended three endpoints at
 /// once by another cause is over by then, and engines have loaded their models, for 6 to 13 s.
 const FIRST_REFUSED_MS: u64 = 30_000;
@@ -35,7 +35,7 @@
 /// and the next end under it has it refused again.
 const FORGOTTEN_MS: u64 = 2 * MOST_REFUSED_MS;
 /// Ends that are kept of one request: three, and as many occasions as the time grows.
-const MOST_KEPT: usize = MOST_ENDS + 3;
+const MOST_KEPT: usize = MAX_CRASHES + 3;
 /// Requests that are remembered: 2,000 slots of engines that end at once, twice over. About
 /// 1 MB.
 const MOST_REQUESTS: usize = 4_096;
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 struct Record {
     /// The last lives of endpoints that ended under it, and when.
-    ends: BTreeMap<Life, u64>,
+    crashes: BTreeMap<Incarnation, u64>,
     /// Whether it had a whole answer, so that it ends nothing.
     is_served: bool,
     /// Number of its last change.
@@ -72,7 +72,7 @@
     /// The request.
     pub request: Fingerprint,
     /// The last lives of endpoints that ended under it, and for how many ms they have.
-    pub ends: Vec<(Life, u64)>,
+    pub crashes: Vec<(Incarnation, u64)>,
     /// Whether it had a whole answer.
     pub is_served: bool,
 }
@@ -80,14 +80,21 @@
 impl Crashes {
     /// Nothing is known yet. Of all daemons each should let requests through later by a time of
     /// its own, of up to some seconds.
-    pub fn late_by(late_ms: u64) -> Self {
+    pub fn with_delay(late_ms: u64) -> Self {
         Self { late_ms, ..Self::default() }
     }
 
     /// Notes that an endpoint ended under a request; returns whether that is refused from now on.
-    pub fn ended(&mut self, request: Fingerprint, endpoint: &Life, now_ms: u64) -> bool {
+    pub fn record_crash(
+        &mut self,
+        request: Fingerprint,
+        endpoint: &Incarnation,
+        now_ms: u64,
+    ) -> bool {
         let ends = vec![(endpoint.clone(), 0)];
-        !self.heard(&[CrashReport { request, ends, is_served: false }], now_ms).is_empty()
+        !self
+            .apply_reports(&[CrashReport { request, crashes: ends, is_served: false }], now_ms)
+            .is_empty()
     }
 
     /// Notes that a request had a whole answer; returns how many endpoints had ended under it, if
@@ -98,7 +105,7 @@
             return None;
         }
         record.is_served = true;
-        let ends = record.ends.len();
+        let ends = record.crashes.len();
         self.note_changed(request);
         Some(ends).filter(|ends| *ends >= TRIED_ENDS)
     }
@@ -111,40 +118,40 @@
 
     /// Whether one attempt of a request may run at a time, so that it is found out whether it
     /// ends endpoints.
-    pub fn must_be_tried(&self, request: Fingerprint) -> bool {
-        self.must_be_tried_in_doubt(request, 0)
+    pub fn must_run_serially(&self, request: Fingerprint) -> bool {
+        self.must_run_serially_with_unresolved(request, 0)
     }
 
     /// The same where it is not known of so many more endpoints whether they ended under it.
-    pub fn must_be_tried_in_doubt(&self, request: Fingerprint, in_doubt: usize) -> bool {
-        let record = self.by_request.get(&request).filter(|record| !record.ends.is_empty());
+    pub fn must_run_serially_with_unresolved(&self, request: Fingerprint, in_doubt: usize) -> bool {
+        let record = self.by_request.get(&request).filter(|record| !record.crashes.is_empty());
         match record {
-            Some(record) => !record.is_served && record.ends.len() + in_doubt >= TRIED_ENDS,
+            Some(record) => !record.is_served && record.crashes.len() + in_doubt >= TRIED_ENDS,
             None => in_doubt >= TRIED_ENDS,
         }
     }
 
     /// What has changed after a change, and the number of the last one.
-    pub fn news(&self, after: u64, now_ms: u64) -> (Vec<CrashReport>, u64) {
+    pub fn changes_since(&self, after: u64, now_ms: u64) -> (Vec<CrashReport>, u64) {
         let changed = self.by_request.iter().filter(|(_, record)| record.changed > after);
         (changed.map(|(request, record)| record.report(*request, now_ms)).collect(), self.changes)
     }
 
     /// Number of the last change of a request that is tried or refused, or was until it had an
     /// answer.
-    pub fn refused_changes(&self) -> u64 {
+    pub fn last_restricted_change(&self) -> u64 {
         self.refused_changes
     }
 
     /// Requests that are tried or refused, or were until they had an answer, the last ones first,
     /// and the number of their last change.
-    pub fn refused(&self, now_ms: u64) -> (Vec<CrashReport>, u64) {
+    pub fn restricted_reports(&self, now_ms: u64) -> (Vec<CrashReport>, u64) {
         let mut refused: Vec<(u64, CrashReport)> = self
             .by_request
             .iter()
             .filter_map(|(request, record)| {
                 let last_ms = record.last_ms();
-                let is_told = record.ends.len() >= TRIED_ENDS && now_ms < last_ms + FORGOTTEN_MS;
+                let is_told = record.crashes.len() >= TRIED_ENDS && now_ms < last_ms + FORGOTTEN_MS;
                 is_told.then(|| (last_ms, record.report(*request, now_ms)))
             })
             .collect();
@@ -153,7 +160,7 @@
     }
 
     /// Takes what another daemon knows; returns requests that are refused from now on.
-    pub fn heard(&mut self, reports: &[CrashReport], now_ms: u64) -> Vec<Fingerprint> {
+    pub fn apply_reports(&mut self, reports: &[CrashReport], now_ms: u64) -> Vec<Fingerprint> {
         self.forget(now_ms);
         let mut refused = Vec::new();
         for report in reports {
@@ -161,7 +168,7 @@
             let record = self.by_request.entry(report.request).or_default();
             let mut is_changed = report.is_served && !record.is_served;
             record.is_served |= report.is_served;
-            for (endpoint, age_ms) in &report.ends {
+            for (endpoint, age_ms) in &report.crashes {
                 is_changed |= record.add(endpoint, now_ms.saturating_sub(*age_ms));
             }
             if is_changed {
@@ -178,7 +185,7 @@
         self.changes += 1;
         let Some(record) = self.by_request.get_mut(&request) else { return };
         record.changed = self.changes;
-        if record.ends.len() >= TRIED_ENDS {
+        if record.crashes.len() >= TRIED_ENDS {
             self.refused_changes = self.changes;
         }
     }
@@ -196,38 +203,38 @@
 
 impl Record {
     /// Adds an end; returns whether that is news. Of more than are needed the last ones stay.
-    fn add(&mut self, endpoint: &Life, at_ms: u64) -> bool {
-        if self.ends.contains_key(endpoint) {
+    fn add(&mut self, endpoint: &Incarnation, at_ms: u64) -> bool {
+        if self.crashes.contains_key(endpoint) {
             return false;
         }
-        if self.ends.len() >= MOST_KEPT {
-            let oldest = self.ends.iter().min_by_key(|(_, at_ms)| **at_ms);
+        if self.crashes.len() >= MOST_KEPT {
+            let oldest = self.crashes.iter().min_by_key(|(_, at_ms)| **at_ms);
             let Some((oldest, oldest_ms)) = oldest else { return false };
             if at_ms <= oldest_ms + SAME_TIME_MS {
                 return false;
             }
             let oldest = oldest.clone();
-            self.ends.remove(&oldest);
+            self.crashes.remove(&oldest);
         }
-        self.ends.insert(endpoint.clone(), at_ms);
+        self.crashes.insert(endpoint.clone(), at_ms);
         true
     }
 
     fn last_ms(&self) -> u64 {
-        self.ends.values().copied().max().unwrap_or_default()
+        self.crashes.values().copied().max().unwrap_or_default()
     }
 
     fn refused_until_ms(&self) -> Option<u64> {
-        let is_known = self.ends.len() >= MOST_ENDS && !self.is_served;
+        let is_known = self.crashes.len() >= MAX_CRASHES && !self.is_served;
         is_known.then(|| self.last_ms() + self.refused_ms())
     }
 
     /// For how long it is refused from the last end on.
     fn refused_ms(&self) -> u64 {
-        let mut times: Vec<u64> = self.ends.values().copied().collect();
+        let mut times: Vec<u64> = self.crashes.values().copied().collect();
         times.sort_unstable();
         let Some((mut last_ms, further)) =
-            times.get(MOST_ENDS - 1).copied().zip(times.get(MOST_ENDS..))
+            times.get(MAX_CRASHES - 1).copied().zip(times.get(MAX_CRASHES..))
         else {
             return 0;
         };
@@ -243,12 +250,12 @@
 
     /// What is forgotten last where there is too much: what ended most, and lately.
     fn weight(&self) -> (usize, u64) {
-        (self.ends.len(), self.last_ms())
+        (self.crashes.len(), self.last_ms())
     }
 
     fn report(&self, request: Fingerprint, now_ms: u64) -> CrashReport {
-        let ends = self.ends.iter();
+        let ends = self.crashes.iter();
         let ends = ends.map(|(name, at_ms)| (name.clone(), now_ms.saturating_sub(*at_ms)));
-        CrashReport { request, ends: ends.collect(), is_served: self.is_served }
+        CrashReport { request, crashes: ends.collect(), is_served: self.is_served }
     }
 }
--- a/crates/trestle-dispatch/src/deciders.rs
+++ b/crates/trestle-dispatch/src/decision_leaders.rs
@@ -13,20 +13,20 @@
 
 /// Leaders of all groups, as one daemon knows them.
 #[derive(Debug, Default)]
-pub struct Deciders {
-    by_group: BTreeMap<DomainName, Decider>,
+pub struct DecisionLeaders {
+    by_group: BTreeMap<DomainName, DecisionLeader>,
 }
 
 #[derive(Debug, Default)]
-struct Decider {
+struct DecisionLeader {
     leader: Option<LeaderStart>,
     /// When that changed, if anybody may have decided before.
     changed_ms: Option<u64>,
 }
 
-impl Deciders {
+impl DecisionLeaders {
     /// Takes who leads a group now.
-    pub fn note(&mut self, group: &DomainName, leader: Option<LeaderStart>, now_ms: u64) {
+    pub fn record_leader(&mut self, group: &DomainName, leader: Option<LeaderStart>, now_ms: u64) {
         let has_any = self.by_group.values().any(|decider| decider.leader.is_some());
         let decider = self.by_group.entry(group.clone()).or_default();
         if decider.leader != leader {
--- a/crates/trestle-dispatch/src/departures.rs
+++ b/crates/trestle-dispatch/src/departures.rs
@@ -9,7 +9,7 @@
 //! Only starts that say when they were are remembered for others: where none does, there is
 //! nothing to tell an entry by.
 
-use crate::endpoint::{Endpoint, Life};
+use crate::endpoint::{Endpoint, Incarnation};
 use std::collections::BTreeMap;
 use trestle_core::names::EndpointName;
 
@@ -21,9 +21,9 @@
 #[trestle_macros::plain]
 pub struct Departure {
     /// The start.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Whether it has said that it leaves.
-    pub has_left: bool,
+    pub was_draining: bool,
     /// The number of its last message, if its entry was removed.
     pub last_number: Option<u64>,
 }
@@ -31,7 +31,7 @@
 /// Starts of endpoints that left or are gone.
 #[derive(Debug, Default)]
 pub struct Departures {
-    by_life: BTreeMap<Life, Departed>,
+    by_life: BTreeMap<Incarnation, Departed>,
     count: u64,
 }
 
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 struct Departed {
     /// Whether it has said that it leaves.
-    has_left: bool,
+    was_draining: bool,
     /// The number of its last message, once its entry was removed.
     last_number: Option<u64>,
     /// Whether another writer's entry stands under its name.
@@ -50,35 +50,35 @@
 
 impl Departures {
     /// Notes that a start has said that it leaves.
-    pub fn leaves(&mut self, life: Life) {
-        self.note(life, |departed| departed.has_left = true);
+    pub fn mark_draining(&mut self, incarnation: Incarnation) {
+        self.note(incarnation, |departed| departed.was_draining = true);
     }
 
     /// Notes that the entry of a start was removed, and the number of its last message.
-    pub fn removed(&mut self, life: Life, number: u64) {
-        self.note(life, |departed| {
+    pub fn removed(&mut self, incarnation: Incarnation, number: u64) {
+        self.note(incarnation, |departed| {
             departed.last_number = departed.last_number.max(Some(number));
             departed.is_named_by_another = false;
         });
     }
 
     /// Notes that an entry under the name of such a start is another writer's.
-    pub fn named_by_another(&mut self, name: &EndpointName) {
-        if let Some(life) = self.last_told(name).cloned() {
-            self.note(life, |departed| departed.is_named_by_another = true);
+    pub fn record_foreign_entry(&mut self, name: &EndpointName) {
+        if let Some(incarnation) = self.last_told(name).cloned() {
+            self.note(incarnation, |departed| departed.is_named_by_another = true);
         }
     }
 
     /// Takes what another daemon knows of a start; returns whether that is news.
-    pub fn heard(&mut self, departure: &Departure) -> bool {
-        let Departure { life, has_left, last_number } = departure;
-        let known = self.by_life.get(life);
+    pub fn apply(&mut self, departure: &Departure) -> bool {
+        let Departure { incarnation, was_draining: has_left, last_number } = departure;
+        let known = self.by_life.get(incarnation);
         let knows =
-            |known: &Departed| known.has_left >= *has_left && known.last_number >= *last_number;
+            |known: &Departed| known.was_draining >= *has_left && known.last_number >= *last_number;
         let is_news = !known.is_some_and(knows);
         if is_news {
-            self.note(life.clone(), |departed| {
-                departed.has_left |= *has_left;
+            self.note(incarnation.clone(), |departed| {
+                departed.was_draining |= *has_left;
                 departed.last_number = departed.last_number.max(*last_number);
             });
         }
@@ -86,52 +86,53 @@
     }
 
     /// Whether a start has said that it leaves.
-    pub fn has_left(&self, life: &Life) -> bool {
-        self.by_life.get(life).is_some_and(|departed| departed.has_left)
+    pub fn was_draining(&self, incarnation: &Incarnation) -> bool {
+        self.by_life.get(incarnation).is_some_and(|departed| departed.was_draining)
     }
 
     /// The number of the last message of a start whose entry was removed.
-    pub fn last_number(&self, life: &Life) -> Option<u64> {
-        self.by_life.get(life)?.last_number
+    pub fn last_number(&self, incarnation: &Incarnation) -> Option<u64> {
+        self.by_life.get(incarnation)?.last_number
     }
 
     /// Whether an entry is another writer's: it does not say when its endpoint started, though
     /// that once did.
     pub fn is_foreign(&self, endpoint: &Endpoint) -> bool {
-        !endpoint.tells_start() && self.last_told(&endpoint.name).is_some()
+        !endpoint.has_start_time() && self.last_told(&endpoint.name).is_some()
     }
 
     /// Starts to be told to daemons that have not heard of them, so many at most: those under
     /// whose names another writer's entry stands, and the last ones.
-    pub fn to_tell(&self, most: usize, is_listed: impl Fn(&Life) -> bool) -> Vec<Departure> {
-        let told = self.by_life.iter().filter(|(life, _)| life.born_ms != 0);
-        let gone = told.filter(|(life, departed)| departed.has_left || !is_listed(life));
-        let mut gone: Vec<(&Life, &Departed)> = gone.collect();
+    pub fn reports(&self, most: usize, is_listed: impl Fn(&Incarnation) -> bool) -> Vec<Departure> {
+        let told = self.by_life.iter().filter(|(incarnation, _)| incarnation.started_unix_ms != 0);
+        let gone =
+            told.filter(|(incarnation, departed)| departed.was_draining || !is_listed(incarnation));
+        let mut gone: Vec<(&Incarnation, &Departed)> = gone.collect();
         gone.sort_by_key(|(_, of)| std::cmp::Reverse((of.is_named_by_another, of.order)));
-        let each = gone.into_iter().take(most).map(|(life, departed)| Departure {
-            life: life.clone(),
-            has_left: departed.has_left,
+        let each = gone.into_iter().take(most).map(|(incarnation, departed)| Departure {
+            incarnation: incarnation.clone(),
+            was_draining: departed.was_draining,
             last_number: departed.last_number,
         });
         each.collect()
     }
 
     /// The last start under a name that said when it was.
-    fn last_told(&self, name: &EndpointName) -> Option<&Life> {
-        let first = Life { name: name.clone(), born_ms: 1 };
-        let last = Life { name: name.clone(), born_ms: u64::MAX };
-        self.by_life.range(first..=last).next_back().map(|(life, _)| life)
+    fn last_told(&self, name: &EndpointName) -> Option<&Incarnation> {
+        let first = Incarnation { name: name.clone(), started_unix_ms: 1 };
+        let last = Incarnation { name: name.clone(), started_unix_ms: u64::MAX };
+        self.by_life.range(first..=last).next_back().map(|(incarnation, _)| incarnation)
     }
 
-    fn note(&mut self, life: Life, note: impl FnOnce(&mut Departed)) {
+    fn note(&mut self, incarnation: Incarnation, note: impl FnOnce(&mut Departed)) {
         self.count += 1;
-        let departed = self.by_life.entry(life).or_default();
+        let departed = self.by_life.entry(incarnation).or_default();
         departed.order = self.count;
         note(departed);
         if self.by_life.len() > MOST {
             let oldest = self.by_life.iter().min_by_key(|(_, departed)| departed.order);
-            if let Some(life) = oldest.map(|(life, _)| life.clone()) {
-                self.by_life.remove(&life);
+            if let Some(incarnation) = oldest.map(|(incarnation, _)| incarnation.clone()) {
+                self.by_life.remove(&incarnation);
             }
         }
     }
--- a/crates/trestle-dispatch/src/directory.rs
+++ b/crates/trestle-dispatch/src/directory.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     departures::{Departure, Departures},
-    endpoint::{Endpoint, Held, Life},
+    endpoint::{Endpoint, Held, Incarnation},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -64,73 +64,76 @@
     }
 
     /// Sets the time for which an endpoint that has left may still get requests.
-    pub fn set_leaving_ms(&mut self, leaving_ms: u64) {
+    pub fn set_draining_ms(&mut self, leaving_ms: u64) {
         self.leaving_ms = leaving_ms;
     }
 
     /// Takes an entry that was written. One that its endpoint had written before its last one
     /// was removed names nothing to use, and neither does another writer's; returns whether it
     /// is taken.
-    pub fn written(&mut self, mut endpoint: Endpoint) -> bool {
+    pub fn apply_written(&mut self, mut endpoint: Endpoint) -> bool {
         if self.departures.is_foreign(&endpoint) {
-            self.departures.named_by_another(&endpoint.name);
+            self.departures.record_foreign_entry(&endpoint.name);
             return false;
         }
         if self.is_of_before(&endpoint) {
             return false;
         }
         self.lapsed_until_ms.remove(&endpoint.name);
-        if endpoint.is_leaving {
-            self.departures.leaves(endpoint.life());
+        if endpoint.is_draining {
+            self.departures.mark_draining(endpoint.incarnation());
         }
-        endpoint.is_leaving |= self.was_leaving(&endpoint.life());
+        endpoint.is_draining |= self.was_draining(&endpoint.incarnation());
         // Numbers start anew with each start; entries of two starts come in the store's order.
         if let Some(known) = self.endpoints.get(&endpoint.name)
-            && known.born_ms == endpoint.born_ms
+            && known.started_unix_ms == endpoint.started_unix_ms
             && known.entry_number > endpoint.entry_number
         {
             // An older message that arrived late: only its news of leaving counts.
-            let is_leaving = endpoint.is_leaving;
-            endpoint = Endpoint { is_leaving, ..Endpoint::clone(known) };
+            let is_leaving = endpoint.is_draining;
+            endpoint = Endpoint { is_draining: is_leaving, ..Endpoint::clone(known) };
         }
         self.endpoints.insert(endpoint.name.clone(), Arc::new(endpoint));
         true
     }
 
     /// Takes an entry that says nothing of what its engine holds; returns whether it is taken.
-    pub fn listed(&mut self, mut endpoint: Endpoint) -> bool {
+    pub fn apply_listed(&mut self, mut endpoint: Endpoint) -> bool {
         let known = self.endpoints.get(&endpoint.name);
-        if let Some(known) = known.filter(|known| known.born_ms == endpoint.born_ms) {
+        if let Some(known) = known.filter(|known| known.started_unix_ms == endpoint.started_unix_ms)
+        {
             endpoint.entry_number = endpoint.entry_number.max(known.entry_number);
             endpoint.held.clone_from(&known.held);
             endpoint.in_memory.clone_from(&known.in_memory);
             endpoint.on_disk.clone_from(&known.on_disk);
         }
-        self.written(endpoint)
+        self.apply_written(endpoint)
     }
 
     /// Whether an entry is none that its endpoint wrote after its last one was removed. Where
     /// starts cannot be told apart, numbers may have begun anew.
     fn is_of_before(&self, endpoint: &Endpoint) -> bool {
-        if !endpoint.tells_start() {
+        if !endpoint.has_start_time() {
             return false;
         }
-        let last = self.departures.last_number(&endpoint.life());
-        let is_listed = self.lists(&endpoint.life());
+        let last = self.departures.last_number(&endpoint.incarnation());
+        let is_listed = self.contains(&endpoint.incarnation());
         let is_kept = is_listed && !self.lapsed_until_ms.contains_key(&endpoint.name);
         !is_kept && last.is_some_and(|last| endpoint.entry_number <= last)
     }
 
     /// Takes that a start of an endpoint has said in an answer that it leaves; returns whether
     /// that is news. No entry says more of it than the endpoint does.
-    pub fn leaves(&mut self, life: &Life) -> bool {
-        if self.was_leaving(life) {
+    pub fn mark_draining(&mut self, incarnation: &Incarnation) -> bool {
+        if self.was_draining(incarnation) {
             return false;
         }
-        self.departures.leaves(life.clone());
-        let listed = self.endpoints.get_mut(&life.name);
-        if let Some(endpoint) = listed.filter(|endpoint| endpoint.born_ms == life.born_ms) {
-            Arc::make_mut(endpoint).is_leaving = true;
+        self.departures.mark_draining(incarnation.clone());
+        let listed = self.endpoints.get_mut(&incarnation.name);
+        if let Some(endpoint) =
+            listed.filter(|endpoint| endpoint.started_unix_ms == incarnation.started_unix_ms)
+        {
+            Arc::make_mut(endpoint).is_draining = true;
         }
         true
     }
@@ -138,26 +141,27 @@
     /// Starts of endpoints that left or are gone, to be told to daemons that may not have heard of
     /// them, so many at most.
     pub fn departures(&self, most: usize) -> Vec<Departure> {
-        self.departures.to_tell(most, |life| self.lists(life))
+        self.departures.reports(most, |incarnation| self.contains(incarnation))
     }
 
     /// Takes what another daemon knows of an endpoint that left or is gone; returns whether one
     /// that is listed here names nothing to use by that.
-    pub fn heard(&mut self, departure: &Departure) -> bool {
-        if !self.departures.heard(departure) {
+    pub fn apply_departure(&mut self, departure: &Departure) -> bool {
+        if !self.departures.apply(departure) {
             return false;
         }
-        let name = &departure.life.name;
+        let name = &departure.incarnation.name;
         let Some(listed) = self.endpoints.get_mut(name) else { return false };
-        if self.departures.has_left(&listed.life()) {
-            Arc::make_mut(listed).is_leaving = true;
+        if self.departures.was_draining(&listed.incarnation()) {
+            Arc::make_mut(listed).is_draining = true;
         }
         let listed = Endpoint::clone(listed);
-        let last = self.departures.last_number(&listed.life()).filter(|_| listed.tells_start());
+        let last =
+            self.departures.last_number(&listed.incarnation()).filter(|_| listed.has_start_time());
         let is_of_before = last.is_some_and(|last| listed.entry_number <= last);
         let is_foreign = self.departures.is_foreign(&listed);
         if is_foreign {
-            self.departures.named_by_another(name);
+            self.departures.record_foreign_entry(name);
         }
         let names_nothing = is_foreign || is_of_before;
         if names_nothing {
@@ -175,12 +179,12 @@
     }
 
     /// Takes the removal of an entry.
-    pub fn removed(&mut self, name: &EndpointName, now_ms: u64) {
+    pub fn apply_removal(&mut self, name: &EndpointName, now_ms: u64) {
         let Some(known) = self.endpoints.get(name) else { return };
-        let (life, last_number) = (known.life(), known.entry_number);
-        let is_staying = !self.was_leaving(&life);
+        let (incarnation, last_number) = (known.incarnation(), known.entry_number);
+        let is_staying = !self.was_draining(&incarnation);
         let kept_until_ms = self.kept_until_ms(now_ms).filter(|until| now_ms < *until);
-        self.departures.removed(life, last_number);
+        self.departures.removed(incarnation, last_number);
         match kept_until_ms {
             Some(until_ms) if is_staying => {
                 self.lapsed_until_ms.entry(name.clone()).or_insert(until_ms);
@@ -204,26 +208,26 @@
     }
 
     /// Takes the whole list: what is not in it was removed.
-    pub fn replaced(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
+    pub fn replace_all(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let listed: BTreeSet<EndpointName> =
             endpoints.iter().map(|endpoint| endpoint.name.clone()).collect();
         for endpoint in endpoints {
-            self.written(endpoint);
+            self.apply_written(endpoint);
         }
-        self.keep_listed(&listed, now_ms);
+        self.retain_listed(&listed, now_ms);
     }
 
     /// Takes that just these are listed: what is not was removed.
-    pub fn keep_listed(&mut self, listed: &BTreeSet<EndpointName>, now_ms: u64) {
+    pub fn retain_listed(&mut self, listed: &BTreeSet<EndpointName>, now_ms: u64) {
         let missing: Vec<EndpointName> =
             self.endpoints.keys().filter(|name| !listed.contains(*name)).cloned().collect();
         for name in missing {
-            self.removed(&name, now_ms);
+            self.apply_removal(&name, now_ms);
         }
     }
 
     /// Notes whether the store could be read.
-    pub fn read(&mut self, was_read: bool, now_ms: u64) {
+    pub fn record_read(&mut self, was_read: bool, now_ms: u64) {
         if !was_read {
             self.unread_since_ms.get_or_insert(now_ms);
             return;
@@ -236,7 +240,7 @@
     }
 
     /// Drops entries that had time to come back and did not.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<EndpointName> {
+    pub fn drop_lapsed(&mut self, now_ms: u64) -> Vec<EndpointName> {
         let due: Vec<EndpointName> = self
             .lapsed_until_ms
             .iter()
@@ -251,13 +255,14 @@
     }
 
     /// Whether this start of an endpoint is listed.
-    pub fn lists(&self, life: &Life) -> bool {
-        self.get(&life.name).is_some_and(|known| known.born_ms == life.born_ms)
+    pub fn contains(&self, incarnation: &Incarnation) -> bool {
+        self.get(&incarnation.name)
+            .is_some_and(|known| known.started_unix_ms == incarnation.started_unix_ms)
     }
 
     /// Whether a start of an endpoint was ever seen leaving.
-    pub fn was_leaving(&self, life: &Life) -> bool {
-        self.departures.has_left(life)
+    pub fn was_draining(&self, incarnation: &Incarnation) -> bool {
+        self.departures.was_draining(incarnation)
     }
 
     /// The endpoint with a name.
@@ -266,9 +271,11 @@
     }
 
     /// Whether a start of an endpoint is listed and not leaving.
-    pub fn is_usable(&self, life: &Life) -> bool {
-        let known = self.get(&life.name).filter(|known| known.born_ms == life.born_ms);
-        known.is_some_and(|known| !known.is_leaving)
+    pub fn is_usable(&self, incarnation: &Incarnation) -> bool {
+        let known = self
+            .get(&incarnation.name)
+            .filter(|known| known.started_unix_ms == incarnation.started_unix_ms);
+        known.is_some_and(|known| !known.is_draining)
     }
 
     /// All endpoints that are listed.
@@ -293,11 +300,11 @@
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a Arc<Endpoint>> {
         let listed = self.endpoints.values();
-        listed.filter(move |endpoint| endpoint.service == *service && !endpoint.is_leaving)
+        listed.filter(move |endpoint| endpoint.service == *service && !endpoint.is_draining)
     }
 
     /// Endpoints of a service that may get new work.
     pub fn usable<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Endpoint> {
-        self.iter().filter(move |endpoint| endpoint.service == *service && !endpoint.is_leaving)
+        self.iter().filter(move |endpoint| endpoint.service == *service && !endpoint.is_draining)
     }
 }
--- a/crates/trestle-dispatch/src/endpoint.rs
+++ b/crates/trestle-dispatch/src/endpoint.rs
@@ -12,12 +12,12 @@
 /// One start of an endpoint: a server that starts again may keep its name, and knows nothing of
 /// what it did before.
 #[trestle_macros::key]
-pub struct Life {
+pub struct Incarnation {
     /// The endpoint.
     pub name: EndpointName,
     /// When it started, in Unix milliseconds on its own clock; 0 if it does not say. The clock
     /// may be set back, so this only tells starts apart.
-    pub born_ms: u64,
+    pub started_unix_ms: u64,
 }
 
 /// One live endpoint: one start of an engine, or of a server of a plain service.
@@ -26,7 +26,7 @@
     /// Its name, which no other server has.
     pub name: EndpointName,
     /// When it started, in Unix milliseconds on its own clock; 0 if it does not say.
-    pub born_ms: u64,
+    pub started_unix_ms: u64,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Where it listens.
@@ -36,7 +36,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it is leaving and must get no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Number of the message by which it entered this; later ones are higher.
     pub entry_number: u64,
     /// Models that it holds, with their adapters.
@@ -49,17 +49,17 @@
 
 impl Endpoint {
     /// This start of it.
-    pub fn life(&self) -> Life {
-        Life { name: self.name.clone(), born_ms: self.born_ms }
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { name: self.name.clone(), started_unix_ms: self.started_unix_ms }
     }
 
     /// Whether it says when it started.
-    pub fn tells_start(&self) -> bool {
-        self.born_ms != 0
+    pub fn has_start_time(&self) -> bool {
+        self.started_unix_ms != 0
     }
 
     /// Whether two identities differ in nothing but the numbers of their messages.
-    pub fn is_alike(&self, other: &Self) -> bool {
+    pub fn differs_only_in_number(&self, other: &Self) -> bool {
         let renumbered = Self { entry_number: other.entry_number, ..self.clone() };
         renumbered == *other
     }
@@ -68,12 +68,12 @@
     pub fn identity(&self) -> Self {
         Self {
             name: self.name.clone(),
-            born_ms: self.born_ms,
+            started_unix_ms: self.started_unix_ms,
             service: self.service.clone(),
             address: self.address,
             domain: self.domain.clone(),
             slots: self.slots,
-            is_leaving: self.is_leaving,
+            is_draining: self.is_draining,
             entry_number: self.entry_number,
             held: Held::new(),
             in_memory: BTreeSet::new(),
@@ -86,7 +86,7 @@
 #[trestle_macros::plain]
 pub struct EngineReport {
     /// When the engine started, by its own clock; 0 if it does not say.
-    pub born_ms: u64,
+    pub started_unix_ms: u64,
     /// Models that it holds, with their adapters.
     pub held: Held,
     /// Whether an order is being carried out.
@@ -101,7 +101,9 @@
 
 impl EngineReport {
     /// Whether it is of this start of an engine, as far as both say when that was.
-    pub fn is_of(&self, endpoint: &Endpoint) -> bool {
-        self.born_ms == endpoint.born_ms || self.born_ms == 0 || endpoint.born_ms == 0
+    pub fn is_from(&self, endpoint: &Endpoint) -> bool {
+        self.started_unix_ms == endpoint.started_unix_ms
+            || self.started_unix_ms == 0
+            || endpoint.started_unix_ms == 0
     }
 }
--- a/crates/trestle-dispatch/src/endpoint_limits.rs
+++ b/crates/trestle-dispatch/src/endpoint_limits.rs
@@ -15,15 +15,15 @@
 //! that names it again stops that.
 
 use crate::{
-    endpoint::Life,
-    lender::{HeldLease, Lender, Loan},
+    endpoint::Incarnation,
     quota::QuotaPlan,
+    quota_allocator::{Allocation, HeldLease, QuotaAllocator},
 };
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{DomainName, EndpointName};
 
 /// Time for which a place can be used, from when it was asked for.
-pub const PLACE_VALID_MS: u64 = 500;
+pub const PERMIT_VALID_MS: u64 = 500;
 /// Places beyond one that may lie in the bucket, as a time of the limit.
 const BUCKET_MS: f64 = 500.0;
 /// Requests in 1,000 s that an endpoint gets which takes less: without any request nobody would
@@ -50,21 +50,21 @@
 /// What one daemon knows of a limit, as it tells the leader.
 #[trestle_macros::plain]
 #[derive(Copy)]
-pub struct LimitHeard {
+pub struct ObservedLimit {
     /// Requests in 1,000 s.
     pub per_ks: u64,
     /// When an answer last named it, on the clock of whoever decides.
-    pub heard_ms: u64,
+    pub observed_ms: u64,
     /// Answers since, and since it last told, that did not name one.
-    pub silent: u32,
+    pub answers_without_limit: u32,
     /// When the last of these came.
-    pub silent_ms: u64,
+    pub last_without_ms: u64,
 }
 
 /// What becomes of a question for a place.
 #[trestle_macros::plain]
 #[derive(Copy)]
-pub enum Place {
+pub enum SendPermit {
     /// One request may be sent.
     Lent,
     /// The endpoint takes no more for now.
@@ -81,8 +81,8 @@
 /// The limits of endpoints, as the leader of their groups keeps them.
 #[derive(Debug, Default)]
 pub struct EndpointLimits {
-    by_life: BTreeMap<Life, Kept>,
-    lenders: BTreeMap<DomainName, Lender<Life>>,
+    by_life: BTreeMap<Incarnation, Kept>,
+    lenders: BTreeMap<DomainName, QuotaAllocator<Incarnation>>,
 }
 
 /// One limit.
@@ -101,24 +101,24 @@
 
 impl EndpointLimits {
     /// Decides on a place at a life of an endpoint of a group, whose lease this daemon may hold.
-    pub fn ask(
+    pub fn request_permit(
         &mut self,
-        life: &Life,
+        incarnation: &Incarnation,
         group: &DomainName,
         lease: Option<HeldLease>,
-        heard: LimitHeard,
+        heard: ObservedLimit,
         now_ms: u64,
-    ) -> Place {
-        let lender = self.lenders.entry(group.clone()).or_default();
+    ) -> SendPermit {
+        let quota_allocator = self.lenders.entry(group.clone()).or_default();
         let held = lease.map(|lease| (group.clone(), lease));
-        lender.set_leases(&held.into_iter().collect(), now_ms);
-        let kept = self.by_life.entry(life.clone()).or_insert_with(|| Kept::new(heard));
+        quota_allocator.set_leases(&held.into_iter().collect(), now_ms);
+        let kept = self.by_life.entry(incarnation.clone()).or_insert_with(|| Kept::new(heard));
         kept.hear(heard, now_ms);
-        let Some(per_ks) = kept.per_ks_now(now_ms) else { return Place::Lifted };
-        match lender.lend(life, 1, &plan(per_ks), now_ms) {
-            Loan::Lent(_) => Place::Lent,
-            Loan::Refused { in_ms } => Place::Refused { in_ms },
-            Loan::NotLending => Place::NotLending,
+        let Some(per_ks) = kept.per_ks_now(now_ms) else { return SendPermit::Lifted };
+        match quota_allocator.allocate(incarnation, 1, &plan(per_ks), now_ms) {
+            Allocation::Lent(_) => SendPermit::Lent,
+            Allocation::Refused { in_ms } => SendPermit::Refused { in_ms },
+            Allocation::NotLending => SendPermit::NotLending,
         }
     }
 
@@ -127,14 +127,14 @@
         let is_kept =
             |kept: &Kept| kept.lifting_ms.is_none() && now_ms < kept.asked_ms + ASKED_LATELY_MS;
         let limited = self.by_life.iter().filter(|(_, kept)| is_kept(kept));
-        limited.map(|(life, _)| life.name.clone()).collect()
+        limited.map(|(incarnation, _)| incarnation.name.clone()).collect()
     }
 
     /// Forgets limits of which nobody asks any more.
-    pub fn tidy(&mut self, now_ms: u64) {
+    pub fn cleanup(&mut self, now_ms: u64) {
         self.by_life.retain(|_, kept| now_ms < kept.asked_ms + FORGOTTEN_MS);
-        for lender in self.lenders.values_mut() {
-            lender.retain(|life| self.by_life.contains_key(life));
+        for quota_allocator in self.lenders.values_mut() {
+            quota_allocator.retain(|incarnation| self.by_life.contains_key(incarnation));
         }
     }
 }
@@ -146,8 +146,8 @@
 }
 
 impl Kept {
-    fn new(heard: LimitHeard) -> Self {
-        let LimitHeard { per_ks, heard_ms, .. } = heard;
+    fn new(heard: ObservedLimit) -> Self {
+        let ObservedLimit { per_ks, observed_ms: heard_ms, .. } = heard;
         Self {
             per_ks,
             lowest_ms: heard_ms,
@@ -160,12 +160,12 @@
     }
 
     /// Takes what a daemon knows of it.
-    fn hear(&mut self, heard: LimitHeard, now_ms: u64) {
+    fn hear(&mut self, heard: ObservedLimit, now_ms: u64) {
         self.asked_ms = now_ms;
-        self.hear_limit(heard.per_ks, heard.heard_ms, now_ms);
-        if heard.silent > 0 && heard.silent_ms > self.heard_ms {
-            self.silent += heard.silent;
-            self.silent_ms = self.silent_ms.max(heard.silent_ms);
+        self.hear_limit(heard.per_ks, heard.observed_ms, now_ms);
+        if heard.answers_without_limit > 0 && heard.last_without_ms > self.heard_ms {
+            self.silent += heard.answers_without_limit;
+            self.silent_ms = self.silent_ms.max(heard.last_without_ms);
             if self.silent >= SILENT_ANSWERS {
                 self.lifting_ms.get_or_insert(now_ms);
             }
--- a/crates/trestle-dispatch/src/identity.rs
+++ b/crates/trestle-dispatch/src/identity.rs
@@ -18,7 +18,7 @@
 pub enum Identity {
     /// The configuration has no teams; whatever the caller sent is passed on.
     #[default]
-    NotAsked,
+    NotRequired,
     /// Nobody that is known, on a route that is open to everybody.
     Anonymous,
     /// A team.
@@ -62,7 +62,7 @@
         certainty: ConfigCertainty,
     ) -> Result<Self, NotAdmitted> {
         if catalog.teams.is_empty() {
-            return Ok(Self::NotAsked);
+            return Ok(Self::NotRequired);
         }
         let held = match credential {
             Credential::Key(key) => catalog.teams.holder(&key).map(|team| (team, key)),
@@ -79,9 +79,9 @@
     }
 
     /// Whether the key still counts in a newer configuration.
-    pub fn still_counts(&self, catalog: &Catalog) -> bool {
+    pub fn is_still_valid(&self, catalog: &Catalog) -> bool {
         match self {
-            Self::NotAsked | Self::Anonymous => true,
+            Self::NotRequired | Self::Anonymous => true,
             Self::Team { team, key } => {
                 catalog.teams.holder(key).is_some_and(|holder| holder.name == team.name)
             }
@@ -91,7 +91,7 @@
     /// The team that asks.
     pub fn team(&self) -> Option<&Arc<Team>> {
         match self {
-            Self::NotAsked | Self::Anonymous => None,
+            Self::NotRequired | Self::Anonymous => None,
             Self::Team { team, .. } => Some(team),
         }
     }
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -90,7 +90,7 @@
 
 /// A resignation that was heard.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct SignalChange {
     token: u64,
     at_ms: u64,
     quiet_until_ms: u64,
@@ -114,7 +114,7 @@
     unknown_until_ms: u64,
     /// The token under which this daemon gives no order any more.
     resigned_token: Option<u64>,
-    heard: Option<Heard>,
+    heard: Option<SignalChange>,
     next_write_ms: u64,
     is_writing: bool,
     is_leaving: bool,
@@ -305,7 +305,7 @@
         if self.heard.is_some_and(|heard| heard.token >= resignation.token) {
             return;
         }
-        self.heard = Some(Heard {
+        self.heard = Some(SignalChange {
             token: resignation.token,
             at_ms: now_ms,
             quiet_until_ms: now_ms + resignation.quiet_for_ms,
@@ -339,7 +339,7 @@
     }
 
     /// What its holder said of the lease that was seen, if it has stepped down.
-    fn heard_of(&self, seen: &Seen) -> Option<Heard> {
+    fn heard_of(&self, seen: &Seen) -> Option<SignalChange> {
         let row = seen.row.as_ref()?;
         self.heard.filter(|heard| heard.token == row.token && !self.is_mine(row))
     }
--- a/crates/trestle-dispatch/src/listing.rs
+++ b/crates/trestle-dispatch/src/listing.rs
@@ -32,7 +32,7 @@
 
 /// News of the list.
 #[trestle_macros::plain]
-pub struct News {
+pub struct ListUpdate {
     /// Whether what is not named in it does not exist.
     pub is_whole: bool,
     /// Entries that were written.
@@ -72,7 +72,7 @@
 
     /// Takes news, and returns what of it is new here. Of a whole list that names what is gone by
     /// its removal.
-    pub fn take(&mut self, mut news: News, source: Source) -> News {
+    pub fn apply(&mut self, mut news: ListUpdate, source: Source) -> ListUpdate {
         if source == Source::Store {
             self.pass_over_foreign(&mut news);
         }
@@ -96,11 +96,11 @@
             }
         }
         self.version = self.version.max(news.version);
-        News { is_whole, written, removed, version: news.version }
+        ListUpdate { is_whole, written, removed, version: news.version }
     }
 
     /// What has changed since a version.
-    pub fn after(&self, version: u64) -> News {
+    pub fn changes_since(&self, version: u64) -> ListUpdate {
         let is_whole = version < self.complete_at;
         let written = self.entries.iter().filter(|(_, of)| is_whole || of.identity_at > version);
         let written = written.map(|(key, of)| ListedEntry {
@@ -109,7 +109,7 @@
             version: of.identity_at,
         });
         let removed = self.removed.iter().filter(|(_, at)| !is_whole && **at > version);
-        News {
+        ListUpdate {
             is_whole,
             written: written.collect(),
             removed: removed.map(|(key, at)| (key.clone(), *at)).collect(),
@@ -118,15 +118,15 @@
     }
 
     /// Notes that the entry of a key that was taken names no endpoint to use.
-    pub fn pass_over(&mut self, key: &str, version: u64) {
+    pub fn mark_unusable(&mut self, key: &str, version: u64) {
         self.entries.remove(key);
         self.removed.insert(key.to_owned(), version);
     }
 
     /// Notes that the entry of a key that stands names no endpoint to use.
-    pub fn drop_entry(&mut self, key: &str) {
+    pub fn mark_entry_unusable(&mut self, key: &str) {
         if let Some(at) = self.entries.get(key).map(|entry| entry.at) {
-            self.pass_over(key, at);
+            self.mark_unusable(key, at);
         }
     }
 
@@ -149,8 +149,10 @@
 
     fn write(&mut self, entry: &ListedEntry) {
         let (identity, at) = (entry.endpoint.identity(), entry.version);
-        let before =
-            self.entries.get(&entry.key).filter(|known| known.identity.is_alike(&identity));
+        let before = self
+            .entries
+            .get(&entry.key)
+            .filter(|known| known.identity.differs_only_in_number(&identity));
         let identity_at = before.map_or(at, |known| known.identity_at);
         self.removed.remove(&entry.key);
         self.entries.insert(entry.key.clone(), Known { identity, at, identity_at });
@@ -158,10 +160,10 @@
 
     /// Takes an entry that does not say when its endpoint started, where the one before did, for
     /// another writer's: it names nothing to use.
-    fn pass_over_foreign(&self, news: &mut News) {
-        let told = |key: &str| self.entries.get(key).is_some_and(|k| k.identity.tells_start());
+    fn pass_over_foreign(&self, news: &mut ListUpdate) {
+        let told = |key: &str| self.entries.get(key).is_some_and(|k| k.identity.has_start_time());
         let is_foreign =
-            |entry: &mut ListedEntry| !entry.endpoint.tells_start() && told(&entry.key);
+            |entry: &mut ListedEntry| !entry.endpoint.has_start_time() && told(&entry.key);
         let foreign = news.written.extract_if(.., is_foreign);
         news.removed.extend(foreign.map(|entry| (entry.key, entry.version)));
     }
--- a/crates/trestle-dispatch/src/asked.rs
+++ b/crates/trestle-dispatch/src/local_demand.rs
@@ -9,30 +9,30 @@
 
 /// What callers of one daemon ask of one service's engines.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct LocalDemand {
     /// Number of the last digest.
-    pub number: u64,
+    pub last_report: u64,
     /// Number of the last digest that the leader's plan has looked at.
-    pub planned: u64,
+    pub last_planned: u64,
     /// Requests that arrived since this was last told.
     pub arrivals: BTreeMap<ModelName, u32>,
     /// All that arrived, for leaders that have not heard of it.
     pub rates: Rates,
     /// Requests that wait, by a number of their own.
-    pub waiting: BTreeMap<u64, Wish>,
+    pub waiting: BTreeMap<u64, PendingDemand>,
     /// Requests that were refused and may be back, by a number of their own.
-    pub returning: BTreeMap<u64, Wish>,
+    pub returning: BTreeMap<u64, PendingDemand>,
     /// Requests that run.
     pub running: BTreeMap<EndpointName, BTreeMap<ModelName, u32>>,
     /// How many of them the leader has been told, by engine.
-    pub told_running: BTreeMap<EndpointName, u32>,
+    pub reported_running: BTreeMap<EndpointName, u32>,
     /// Requests that run with an adapter.
     pub adapters: BTreeMap<EndpointName, BTreeMap<(ModelName, AdapterName), u32>>,
 }
 
 /// What one request waits for.
 #[trestle_macros::plain]
-pub struct Wish {
+pub struct PendingDemand {
     /// Urgency; 0 goes first.
     pub priority: u8,
     /// When it is no longer on time, or no longer expected.
@@ -42,18 +42,18 @@
     /// The adapter.
     pub adapter: Option<AdapterName>,
     /// Number of the first digest that told of it.
-    pub told: Option<u64>,
+    pub first_report: Option<u64>,
     /// When the leader was first heard to call it ready.
     pub ready_ms: Option<u64>,
 }
 
-impl Asked {
+impl LocalDemand {
     /// What is to be told now; arrivals are told once. A leader that has heard nothing yet
     /// is also told what is remembered.
-    pub fn digest(&mut self, is_first: bool, now_ms: u64) -> DemandDigest {
-        self.number += 1;
+    pub fn report(&mut self, is_first: bool, now_ms: u64) -> DemandDigest {
+        self.last_report += 1;
         for wish in self.waiting.values_mut() {
-            wish.told.get_or_insert(self.number);
+            wish.first_report.get_or_insert(self.last_report);
         }
         self.returning.retain(|_, wish| now_ms < wish.due_ms);
         self.rates.forget(now_ms);
@@ -71,10 +71,10 @@
         });
         let adapters_in_use = self.adapters.iter();
         let running = self.running.iter();
-        self.told_running =
+        self.reported_running =
             running.map(|(endpoint, models)| (endpoint.clone(), models.values().sum())).collect();
         DemandDigest {
-            number: self.number,
+            number: self.last_report,
             arrivals: std::mem::take(&mut self.arrivals),
             past: is_first.then(|| self.rates.past(now_ms)),
             waiting: waiting.collect(),
@@ -87,15 +87,16 @@
     }
 
     /// Whether something waits of which the leader has not been heard yet.
-    pub fn has_unanswered(&self) -> bool {
-        let told = |wish: &Wish| wish.told.is_some_and(|told| self.planned >= told);
+    pub fn has_unplanned(&self) -> bool {
+        let told =
+            |wish: &PendingDemand| wish.first_report.is_some_and(|told| self.last_planned >= told);
         !self.waiting.values().all(told)
     }
 
     /// Whether the leader has planned with a request that waits.
-    pub fn is_answered(&self, number: u64) -> bool {
-        let told = self.waiting.get(&number).and_then(|wish| wish.told);
-        told.is_some_and(|told| self.planned >= told)
+    pub fn is_planned(&self, number: u64) -> bool {
+        let told = self.waiting.get(&number).and_then(|wish| wish.first_report);
+        told.is_some_and(|told| self.last_planned >= told)
     }
 
     /// Notes that a request was sent to an engine.
--- a/crates/trestle-dispatch/src/lender.rs
+++ b/crates/trestle-dispatch/src/quota_allocator.rs
@@ -26,7 +26,7 @@
 
 /// What a leader has of each limit, by whose it is.
 #[derive(Debug)]
-pub struct Lender<K = TeamName> {
+pub struct QuotaAllocator<K = TeamName> {
     by_key: BTreeMap<K, Bucket>,
     /// Leases that are held, or were lately, by group.
     leases: BTreeMap<DomainName, GroupLease>,
@@ -65,7 +65,7 @@
 
 /// What becomes of a question.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Loan {
+pub enum Allocation {
     /// So many units may be spent.
     Lent(u64),
     /// There are too few.
@@ -77,15 +77,15 @@
     NotLending,
 }
 
-impl<K> Default for Lender<K> {
+impl<K> Default for QuotaAllocator<K> {
     fn default() -> Self {
         Self { by_key: BTreeMap::new(), leases: BTreeMap::new(), since_ms: 0, sharing: 0 }
     }
 }
 
-impl<K: Ord + Clone> Lender<K> {
+impl<K: Ord + Clone> QuotaAllocator<K> {
     /// Sets how many groups there may be, whose leaders share each limit.
-    pub fn set_sharing(&mut self, groups: usize) {
+    pub fn set_group_count(&mut self, groups: usize) {
         self.sharing = groups;
     }
 
@@ -153,32 +153,32 @@
     }
 
     /// Lends a daemon some units of a limit.
-    pub fn lend(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> Loan {
+    pub fn allocate(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> Allocation {
         let groups = self.earning();
         let bucket = self.settled(key, plan, now_ms);
         let wanted = units as f64;
         if bucket.units >= wanted {
             bucket.units -= wanted;
-            return Loan::Lent(units);
+            return Allocation::Lent(units);
         }
         if groups == 0 {
-            return Loan::NotLending;
+            return Allocation::NotLending;
         }
         let earned = plan.units_per_ms * groups as f64;
         let missing = wanted - bucket.units + bucket.refused;
         bucket.refused += wanted;
-        Loan::Refused { in_ms: (missing / earned).ceil() as u64 }
+        Allocation::Refused { in_ms: (missing / earned).ceil() as u64 }
     }
 
     /// Takes that a refused question was met after all, by what another leader gave.
-    pub fn met(&mut self, key: &K, units: u64) {
+    pub fn settle_refusal(&mut self, key: &K, units: u64) {
         if let Some(bucket) = self.by_key.get_mut(key) {
             bucket.refused = (bucket.refused - units as f64).max(0.0);
         }
     }
 
     /// What another leader gets that has too little.
-    pub fn give(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> u64 {
+    pub fn transfer_out(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> u64 {
         if self.earning() == 0 {
             return 0;
         }
@@ -189,13 +189,13 @@
     }
 
     /// Takes what another leader gave.
-    pub fn receive(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) {
+    pub fn transfer_in(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) {
         self.settled(key, plan, now_ms).units += units as f64;
     }
 
     /// How much to ask of other leaders for somebody who wants so much, if they may be asked:
     /// what is missing, and as much again for the next.
-    pub fn to_ask_others(
+    pub fn units_to_request(
         &mut self,
         key: &K,
         units: u64,
@@ -207,7 +207,7 @@
     }
 
     /// Notes that other leaders had nothing to give.
-    pub fn nothing_given(&mut self, key: &K, now_ms: u64) {
+    pub fn record_empty_transfer(&mut self, key: &K, now_ms: u64) {
         if let Some(bucket) = self.by_key.get_mut(key) {
             bucket.ask_others_ms = now_ms + NOTHING_GIVEN_MS;
         }
--- a/crates/trestle-dispatch/src/record.rs
+++ b/crates/trestle-dispatch/src/record.rs
@@ -113,7 +113,7 @@
 
     /// Forgets how an endpoint behaved that has started again. Requests to its earlier start are
     /// still to end.
-    pub fn started_again(&mut self, endpoint: &EndpointName) {
+    pub fn restarted(&mut self, endpoint: &EndpointName) {
         if let Some(record) = self.by_endpoint.get_mut(endpoint) {
             *record = Record { in_flight: record.in_flight, ..Record::default() };
         }
--- a/crates/trestle-dispatch/src/replicas.rs
+++ b/crates/trestle-dispatch/src/replicas.rs
@@ -15,19 +15,19 @@
 #[derive(Default)]
 pub struct ReplicaView {
     /// What is known of engines; of one that is not named, its entry is believed.
-    pub engines: BTreeMap<EndpointName, EngineNote>,
+    pub engines: BTreeMap<EndpointName, EngineSummary>,
     /// When what is waited for will be ready, in ms from the view's arrival.
     pub ready_in_ms: BTreeMap<Loadable, u64>,
     /// Daemons that share budgets; 0 where they have not been counted yet.
     pub daemons: usize,
     /// Daemons that ask the leader which says this.
-    pub askers: usize,
+    pub leader_clients: usize,
 }
 
 /// What leaders know of one engine.
 #[trestle_macros::plain]
 #[derive(Default)]
-pub struct EngineNote {
+pub struct EngineSummary {
     /// Models, with their adapters, for which it may get requests: without what is going,
     /// and with what has arrived and is not in its entry yet.
     pub holds: Held,
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     admission::{self, Admission, Outlook, Reason, Wait},
-    asked::Wish,
-    beliefs::Beliefs,
     choice::{self, HeldBack, Known, Need},
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, Incarnation},
     loadable::Loadable,
+    local_demand::PendingDemand,
+    local_view::LocalView,
     policy::{Mechanism, Policy},
     replicas::ReplicaView,
     request::RequestHead,
@@ -41,7 +41,7 @@
     /// Whether its team's limit allows it.
     pub is_paid: bool,
     /// The life of an endpoint with a limit that has a place for it.
-    pub place: Option<&'a Life>,
+    pub place: Option<&'a Incarnation>,
 }
 
 /// What becomes of a request now.
@@ -74,21 +74,22 @@
 
 /// Decides on a request. The lot must differ from request to request and from daemon to daemon.
 pub fn select(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: Asking<'_>,
     sends: &Sends,
     lot: u64,
     now_ms: u64,
 ) -> Selection {
     // Whoever sends it ends an endpoint, with all that runs there.
-    if let Some(retry_after_ms) = beliefs.refused_for_ms(asking.head.fingerprint, now_ms) {
+    if let Some(retry_after_ms) = local_view.refused_for_ms(asking.head.fingerprint, now_ms) {
         return Selection::Refuse { retry_after_ms, reason: Some(Reason::EndsEndpoints) };
     }
-    if let Some(endpoint) = choose_allowed(beliefs, asking, sends, lot, now_ms) {
-        let must_ask = !asking.is_trial && beliefs.must_be_tried(asking.head.fingerprint, now_ms);
-        let life = endpoint.life();
-        let needs_place =
-            beliefs.backpressure.limit(&life).is_some() && asking.place != Some(&life);
+    if let Some(endpoint) = choose_allowed(local_view, asking, sends, lot, now_ms) {
+        let must_ask =
+            !asking.is_trial && local_view.must_run_serially(asking.head.fingerprint, now_ms);
+        let incarnation = endpoint.incarnation();
+        let needs_place = local_view.backpressure.limit(&incarnation).is_some()
+            && asking.place != Some(&incarnation);
         return match (must_ask, asking.is_paid) {
             (true, _) => Selection::Try,
             (false, false) => Selection::Pay,
@@ -97,13 +98,13 @@
         };
     }
     let everywhere = sends.allowed_at_all(asking.route);
-    if let Some(held_back) = look(beliefs, asking, &everywhere, now_ms, choice::held_back) {
+    if let Some(held_back) = look(local_view, asking, &everywhere, now_ms, choice::held_back) {
         return Selection::HeldBack(held_back);
     }
     if asking.head.model.is_none() {
         return Selection::Refuse { retry_after_ms: PLAIN_RETRY_MS, reason: None };
     }
-    match wait_or_refuse(beliefs, asking, now_ms) {
+    match wait_or_refuse(local_view, asking, now_ms) {
         Admission::Wait { until_ms } => Selection::Wait { until_ms },
         Admission::Refuse { retry_after_ms, reason } => {
             Selection::Refuse { retry_after_ms, reason: Some(reason) }
@@ -114,24 +115,29 @@
 /// Whether another endpoint than the last could take the request over now, and the budget has a
 /// send left for that. Without the second, 400 of 20,000 streams were broken off at an engine
 /// with a queue and sent nowhere.
-pub fn has_other(beliefs: &mut Beliefs, asking: Asking<'_>, sends: &Sends, now_ms: u64) -> bool {
-    if !beliefs.has_retry(asking.service, now_ms) {
+pub fn has_other(
+    local_view: &mut LocalView,
+    asking: Asking<'_>,
+    sends: &Sends,
+    now_ms: u64,
+) -> bool {
+    if !local_view.has_retry(asking.service, now_ms) {
         return false;
     }
     let allowed = sends.allowed_elsewhere(asking.route, now_ms);
-    look(beliefs, asking, &allowed, now_ms, choice::has_sound)
+    look(local_view, asking, &allowed, now_ms, choice::has_sound)
 }
 
 /// What a request waits for; `due_ms` is on the daemon's clock.
-pub fn wish(asking: Asking<'_>, due_ms: u64) -> Option<Wish> {
+pub fn wish(asking: Asking<'_>, due_ms: u64) -> Option<PendingDemand> {
     let model = asking.head.model.clone()?;
     let adapter = asking.head.adapter.clone();
-    Some(Wish {
+    Some(PendingDemand {
         priority: asking.route.priority,
         due_ms,
         model,
         adapter,
-        told: None,
+        first_report: None,
         ready_ms: None,
     })
 }
@@ -142,13 +148,13 @@
     asking: Asking<'_>,
     retry_after_ms: u64,
     now_ms: u64,
-) -> Option<Wish> {
+) -> Option<PendingDemand> {
     let is_kept = policy.has(Mechanism::KeepForReturning);
     wish(asking, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
 }
 
 fn choose_allowed(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: Asking<'_>,
     sends: &Sends,
     lot: u64,
@@ -156,13 +162,15 @@
 ) -> Option<Endpoint> {
     let mut choose = |allowed: &Allowed| {
         let chosen = |known: Known<'_>, need: Need<'_>| {
-            let place = asking.place.filter(|life| choice::is_open_with_place(known, need, life));
+            let place = asking
+                .place
+                .filter(|incarnation| choice::is_open_with_place(known, need, incarnation));
             match place {
-                Some(life) => known.beliefs.directory.get(&life.name).cloned(),
+                Some(incarnation) => known.local_view.directory.get(&incarnation.name).cloned(),
                 None => choice::choose(known, need, lot).cloned(),
             }
         };
-        look(beliefs, asking, allowed, now_ms, chosen)
+        look(local_view, asking, allowed, now_ms, chosen)
     };
     let chosen = choose(&sends.allowed(asking.route, now_ms));
     chosen.or_else(|| choose(&sends.allowed_again(asking.route)?))
@@ -170,7 +178,7 @@
 
 /// Looks for endpoints by what is known now.
 fn look<R>(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: Asking<'_>,
     allowed: &Allowed,
     now_ms: u64,
@@ -183,49 +191,49 @@
         excluded: &allowed.excluded,
         only: allowed.only.as_ref(),
     };
-    beliefs.directory.tick(now_ms);
+    local_view.directory.drop_lapsed(now_ms);
     let nothing = ReplicaView::default();
-    let replicas = beliefs.replicas.get(asking.service).unwrap_or(&nothing);
-    look(Known { beliefs, replicas, now_ms }, need)
+    let replicas = local_view.replicas.get(asking.service).unwrap_or(&nothing);
+    look(Known { local_view, replicas, now_ms }, need)
 }
 
 /// Whether a request without an endpoint waits.
-fn wait_or_refuse(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> Admission {
+fn wait_or_refuse(local_view: &mut LocalView, asking: Asking<'_>, now_ms: u64) -> Admission {
     let Asking { route, elapsed_ms, allowed_ms, .. } = asking;
-    let wait = match beliefs.policy.has(Mechanism::WaitWhileCallerStays) {
+    let wait = match local_view.policy.has(Mechanism::WaitWhileCallerStays) {
         true => Wait::new(route, elapsed_ms, allowed_ms),
         false => Wait::within_objective(route, elapsed_ms, allowed_ms),
     };
-    admission::decide(wait, outlook(beliefs, asking, now_ms))
+    admission::decide(wait, outlook(local_view, asking, now_ms))
 }
 
 /// What is known of when a request's model will be ready.
-fn outlook(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> Outlook {
+fn outlook(local_view: &mut LocalView, asking: Asking<'_>, now_ms: u64) -> Outlook {
     let Some(model) = &asking.head.model else { return Outlook::Unknown };
-    if !beliefs.has_leader {
+    if !local_view.has_leader {
         let everywhere = Allowed { excluded: BTreeSet::new(), only: None };
-        if look(beliefs, asking, &everywhere, now_ms, choice::is_here) {
-            return Outlook::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) };
+        if look(local_view, asking, &everywhere, now_ms, choice::is_here) {
+            return Outlook::Here { for_ms: ready_for_ms(local_view, asking, now_ms) };
         }
-        let is_awaited = beliefs.policy.has(Mechanism::AwaitLeader);
-        let in_ms = beliefs.without_leader_ms(now_ms).filter(|_| is_awaited);
+        let is_awaited = local_view.policy.has(Mechanism::AwaitLeader);
+        let in_ms = local_view.leader_recovery_ms(now_ms).filter(|_| is_awaited);
         return in_ms.map_or(Outlook::Unknown, |in_ms| Outlook::Ready { in_ms });
     }
     let loadable = Loadable::new(model, asking.head.adapter.as_ref());
-    let ready_in_ms = beliefs.ready_in_ms(asking.service, &loadable, now_ms);
+    let ready_in_ms = local_view.ready_in_ms(asking.service, &loadable, now_ms);
     match ready_in_ms {
-        Some(0) => return Outlook::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) },
+        Some(0) => return Outlook::Here { for_ms: ready_for_ms(local_view, asking, now_ms) },
         Some(in_ms) => return Outlook::Ready { in_ms },
         None => {}
     }
-    let asked = beliefs.asked.get(asking.service);
-    let is_answered = asked.zip(asking.wish).is_some_and(|(asked, wish)| asked.is_answered(wish));
+    let asked = local_view.local_demand.get(asking.service);
+    let is_answered = asked.zip(asking.wish).is_some_and(|(asked, wish)| asked.is_planned(wish));
     if is_answered { Outlook::Unknown } else { Outlook::Unheard }
 }
 
 /// For how long the leader has called something ready that a request waits for.
-fn ready_for_ms(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> u64 {
-    let waiting = &mut beliefs.asked_of(asking.service).waiting;
+fn ready_for_ms(local_view: &mut LocalView, asking: Asking<'_>, now_ms: u64) -> u64 {
+    let waiting = &mut local_view.local_demand_for(asking.service).waiting;
     let wish = asking.wish.and_then(|number| waiting.get_mut(&number));
     let ready_ms = wish.map(|wish| *wish.ready_ms.get_or_insert(now_ms));
     ready_ms.map_or(0, |ready_ms| now_ms.saturating_sub(ready_ms))
--- a/crates/trestle-dispatch/src/sends.rs
+++ b/crates/trestle-dispatch/src/sends.rs
@@ -1,6 +1,6 @@
 //! The sends of one request so far, and where the next may go.
 
-use crate::{beliefs::Beliefs, route::Route};
+use crate::{local_view::LocalView, route::Route};
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{EndpointName, ServiceName};
 
@@ -129,12 +129,12 @@
         &mut self,
         route: &Route,
         service: &ServiceName,
-        beliefs: &mut Beliefs,
+        local_view: &mut LocalView,
         now_ms: u64,
     ) -> bool {
         let is_spent = self.may_have_run && !self.has_more(route);
         let is_taken = std::mem::take(&mut self.has_unspent);
-        self.count == 0 || (!is_spent && (is_taken || beliefs.take_retry(service, now_ms)))
+        self.count == 0 || (!is_spent && (is_taken || local_view.spend_retry(service, now_ms)))
     }
 
     fn only(&self, route: &Route) -> Option<BTreeSet<EndpointName>> {
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -5,13 +5,13 @@
     change::Change,
     demand::Demand,
     directory::Directory,
-    endpoint::{Endpoint, Held, Life},
+    endpoint::{Endpoint, Held, Incarnation},
     learnt::LearntTimes,
     loadable::{self, Loadable},
     orders::OrderChain,
     placing::{EngineState, PlanInputs, Planner},
     policy::Policy,
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
     sharing::{Host, Sharing},
     usage::Usage,
 };
@@ -172,9 +172,11 @@
     }
 
     /// Takes the end of a change; nothing, if the engine has started again meanwhile.
-    pub fn change_ended(&mut self, engine: &Life, chain: &OrderChain, now_ms: u64) {
+    pub fn change_ended(&mut self, engine: &Incarnation, chain: &OrderChain, now_ms: u64) {
         let known = self.engines.get_mut(&engine.name);
-        let Some(known) = known.filter(|known| known.born_ms == engine.born_ms) else { return };
+        let Some(known) = known.filter(|known| known.born_ms == engine.started_unix_ms) else {
+            return;
+        };
         let Some(change) = known.change.take() else { return };
         self.news += 1;
         if let Some(waited_ms) = chain.run_wait_ms() {
@@ -211,7 +213,7 @@
             engines: engines.collect(),
             ready_in_ms: self.ready_in_ms(now_ms),
             daemons: self.demand.daemons(),
-            askers: self.demand.daemons(),
+            leader_clients: self.demand.daemons(),
         }
     }
 
@@ -238,9 +240,10 @@
         self.engines.retain(|name, _| directory.contains_key(name));
         for endpoint in directory.values() {
             let known = self.engines.entry(endpoint.name.clone()).or_default();
-            if known.born_ms != endpoint.born_ms {
+            if known.born_ms != endpoint.started_unix_ms {
                 // It holds nothing, has no order under way, and counts its orders anew.
-                *known = KnownEngine { born_ms: endpoint.born_ms, ..KnownEngine::default() };
+                *known =
+                    KnownEngine { born_ms: endpoint.started_unix_ms, ..KnownEngine::default() };
             }
             if endpoint.entry_number > known.entry_number {
                 known.entry_number = endpoint.entry_number;
@@ -284,10 +287,10 @@
 }
 
 /// What an engine can run, as far as is known, and what runs there.
-fn note(endpoint: &Endpoint, known: &KnownEngine, usage: &Usage<'_>, now_ms: u64) -> EngineNote {
+fn note(endpoint: &Endpoint, known: &KnownEngine, usage: &Usage<'_>, now_ms: u64) -> EngineSummary {
     let running = usage.at(&endpoint.name);
     if now_ms < known.silent_until_ms {
-        return EngineNote { holds: Held::new(), running };
+        return EngineSummary { holds: Held::new(), running };
     }
     let mut holds = known.held.clone();
     if let Some(change) = &known.change {
@@ -308,5 +311,5 @@
             adapters.remove(adapter);
         }
     }
-    EngineNote { holds, running }
+    EngineSummary { holds, running }
 }
--- a/crates/trestle-dispatch/src/notice.rs
+++ b/crates/trestle-dispatch/src/signals.rs
@@ -6,10 +6,10 @@
 /// One thing that an answer may say.
 #[trestle_macros::plain]
 #[derive(Default)]
-pub enum Said<T> {
+pub enum HeaderField<T> {
     /// It does not say it.
     #[default]
-    Nothing,
+    Absent,
     /// It says this.
     Value(T),
     /// It says something that cannot be read, which begins like this.
@@ -19,21 +19,21 @@
 /// What an endpoint says of itself in the head of an answer.
 #[trestle_macros::plain]
 #[derive(Default)]
-pub struct Notice {
+pub struct EndpointSignals {
     /// Requests that it takes in 1,000 s, from all daemons together.
-    pub limit_per_ks: Said<u64>,
+    pub limit_per_ks: HeaderField<u64>,
     /// That it leaves.
-    pub leaves: Said<()>,
+    pub draining: HeaderField<()>,
     /// Time for which it wants nothing from this daemon, where it turned the request away.
-    pub rest_ms: Said<u64>,
+    pub backoff_ms: HeaderField<u64>,
 }
 
-impl<T> Said<T> {
+impl<T> HeaderField<T> {
     /// What is said, if it can be read.
     pub fn value(&self) -> Option<&T> {
         match self {
             Self::Value(value) => Some(value),
-            Self::Nothing | Self::Unreadable(_) => None,
+            Self::Absent | Self::Unreadable(_) => None,
         }
     }
 
--- a/crates/trestle-dispatch/src/team.rs
+++ b/crates/trestle-dispatch/src/team.rs
@@ -53,7 +53,7 @@
     /// Tokens of a prompt and of the longest answer.
     Tokens {
         /// What a request counts that does not say how many it has.
-        of_plain: u64,
+        default_tokens: u64,
     },
 }
 
@@ -79,7 +79,7 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
-            LimitUnit::Tokens { of_plain } => tokens.unwrap_or(of_plain),
+            LimitUnit::Tokens { default_tokens: of_plain } => tokens.unwrap_or(of_plain),
         }
     }
 }
--- a/crates/trestle-dispatch/src/suspects.rs
+++ b/crates/trestle-dispatch/src/unresolved_requests.rs
@@ -11,7 +11,7 @@
 //! after a request was broken off there did not end under it. Any answer of the same life shows
 //! that; where none comes, it is looked for.
 
-use crate::{endpoint::Life, fingerprint::Fingerprint};
+use crate::{endpoint::Incarnation, fingerprint::Fingerprint};
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
@@ -23,17 +23,17 @@
 const IN_DOUBT_MS: u64 = 6_000;
 /// Time by which an endpoint has ended that ends under a request which was broken off there:
 /// it drops the request once it sees that the connection is gone.
-pub const ENDS_WITHIN_MS: u64 = 500;
+pub const MAX_CRASH_DELAY_MS: u64 = 500;
 
 /// What was sent to endpoints and had no answer.
 #[derive(Debug, Default)]
-pub struct Suspects {
-    by_life: BTreeMap<Life, Doubt>,
+pub struct UnresolvedRequests {
+    by_life: BTreeMap<Incarnation, IncarnationRequests>,
 }
 
 /// What is open at one life of an endpoint.
 #[derive(Debug, Default)]
-struct Doubt {
+struct IncarnationRequests {
     /// Where it listens, if anything was sent there.
     address: Option<SocketAddr>,
     /// Requests that run there, as far as is known, and how many times.
@@ -49,13 +49,13 @@
 /// What a broken connection says of its endpoint.
 #[trestle_macros::plain]
 #[derive(Copy)]
-pub enum Break {
+pub enum ConnectionLoss {
     /// Whether the endpoint has ended should be found out.
-    First,
+    CheckNeeded,
     /// That is being found out.
-    Further,
+    CheckRunning,
     /// The endpoint is known to have ended.
-    Ended,
+    Terminated,
 }
 
 /// By what it is known that an endpoint has ended.
@@ -85,17 +85,17 @@
     }
 }
 
-impl Suspects {
+impl UnresolvedRequests {
     /// Notes that a request leaves for an endpoint.
-    pub fn sent(&mut self, life: &Life, address: SocketAddr, request: Fingerprint) {
-        let doubt = self.doubt(life);
+    pub fn sent(&mut self, incarnation: &Incarnation, address: SocketAddr, request: Fingerprint) {
+        let doubt = self.doubt(incarnation);
         doubt.address = Some(address);
         *doubt.running.entry(request).or_default() += 1;
     }
 
     /// Notes that a request has ended at an endpoint and is of no interest there any more.
-    pub fn settled(&mut self, life: &Life, request: Fingerprint) {
-        let Some(doubt) = self.by_life.get_mut(life) else { return };
+    pub fn resolved(&mut self, incarnation: &Incarnation, request: Fingerprint) {
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
         if let Some(count) = doubt.running.get_mut(&request) {
             *count -= 1;
             if *count == 0 {
@@ -103,46 +103,56 @@
             }
         }
         if doubt.is_empty() {
-            self.by_life.remove(life);
+            self.by_life.remove(incarnation);
         }
     }
 
     /// Notes that nobody waits any more for a request that runs at an endpoint; returns whether
     /// that is known to have ended.
-    pub fn left(&mut self, life: &Life, request: Fingerprint, now_ms: u64) -> bool {
-        let Some(doubt) = self.by_life.get_mut(life) else { return false };
+    pub fn abandoned(
+        &mut self,
+        incarnation: &Incarnation,
+        request: Fingerprint,
+        now_ms: u64,
+    ) -> bool {
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return false };
         let has_ended = doubt.ended_ms.is_some();
         if !has_ended {
             doubt.broken_off.insert(request, now_ms);
         }
-        self.settled(life, request);
+        self.resolved(incarnation, request);
         has_ended
     }
 
     /// Notes that the connection of a request to an endpoint broke.
-    pub fn broke(&mut self, life: &Life, request: Fingerprint, now_ms: u64) -> Break {
+    pub fn connection_lost(
+        &mut self,
+        incarnation: &Incarnation,
+        request: Fingerprint,
+        now_ms: u64,
+    ) -> ConnectionLoss {
         self.forget(now_ms);
-        let doubt = self.doubt(life);
+        let doubt = self.doubt(incarnation);
         if doubt.ended_ms.is_some() {
-            return Break::Ended;
+            return ConnectionLoss::Terminated;
         }
         doubt.broken_off.insert(request, now_ms);
         match std::mem::replace(&mut doubt.is_looked_into, true) {
-            true => Break::Further,
-            false => Break::First,
+            true => ConnectionLoss::CheckRunning,
+            false => ConnectionLoss::CheckNeeded,
         }
     }
 
     /// Whether somebody who is finding out if an endpoint has ended must go on: something was
     /// broken off there, and nothing shows that it lived later. If not, the next broken
     /// connection has it found out again.
-    pub fn keeps_looking(&mut self, life: &Life, now_ms: u64) -> bool {
+    pub fn needs_check(&mut self, incarnation: &Incarnation, now_ms: u64) -> bool {
         self.forget(now_ms);
-        let Some(doubt) = self.by_life.get_mut(life) else { return false };
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return false };
         let keeps_looking = doubt.ended_ms.is_none() && !doubt.broken_off.is_empty();
         doubt.is_looked_into = keeps_looking;
         if doubt.is_empty() {
-            self.by_life.remove(life);
+            self.by_life.remove(incarnation);
         }
         keeps_looking
     }
@@ -150,21 +160,21 @@
     /// Takes that an endpoint has answered a request that left at `sent_ms`, over a connection
     /// that was opened at `opened_ms`. Where starts cannot be told apart by the answer, they can
     /// by the connection: one that was open before still leads to the same start.
-    pub fn answered(&mut self, life: &Life, sent_ms: u64, opened_ms: u64) {
-        let Some(doubt) = self.by_life.get_mut(life) else { return };
-        let is_named = life.born_ms == 0;
+    pub fn answered(&mut self, incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) {
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
+        let is_named = incarnation.started_unix_ms == 0;
         // It has come back, or was never gone.
         doubt.ended_ms.take_if(|ended_ms| is_named && *ended_ms < sent_ms);
         doubt.broken_off.retain(|_, at_ms| {
             let is_same = is_named || opened_ms <= *at_ms;
-            !(is_same && *at_ms + ENDS_WITHIN_MS <= sent_ms)
+            !(is_same && *at_ms + MAX_CRASH_DELAY_MS <= sent_ms)
         });
     }
 
     /// Takes that a life of an endpoint was alive at a time.
-    pub fn lived(&mut self, life: &Life, at_ms: u64) {
-        let Some(doubt) = self.by_life.get_mut(life) else { return };
-        doubt.broken_off.retain(|_, broken_ms| at_ms < *broken_ms + ENDS_WITHIN_MS);
+    pub fn confirmed_alive(&mut self, incarnation: &Incarnation, at_ms: u64) {
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
+        doubt.broken_off.retain(|_, broken_ms| at_ms < *broken_ms + MAX_CRASH_DELAY_MS);
     }
 
     /// Takes that a request had a whole answer: nothing ends under it.
@@ -176,8 +186,8 @@
 
     /// Lives at which a request was broken off, and of which it is not known whether they ended
     /// under it.
-    pub fn in_doubt(&self, request: Fingerprint, now_ms: u64) -> usize {
-        let is_open = |doubt: &&Doubt| {
+    pub fn unresolved_incarnations(&self, request: Fingerprint, now_ms: u64) -> usize {
+        let is_open = |doubt: &&IncarnationRequests| {
             let broken_ms = doubt.broken_off.get(&request);
             broken_ms.is_some_and(|at_ms| now_ms < *at_ms + IN_DOUBT_MS)
         };
@@ -185,9 +195,14 @@
     }
 
     /// Takes that an endpoint has ended; returns the requests under which it may have.
-    pub fn ended(&mut self, life: &Life, evidence: Evidence, now_ms: u64) -> BTreeSet<Fingerprint> {
+    pub fn terminated(
+        &mut self,
+        incarnation: &Incarnation,
+        evidence: Evidence,
+        now_ms: u64,
+    ) -> BTreeSet<Fingerprint> {
         self.forget(now_ms);
-        let Some(doubt) = self.by_life.get_mut(life) else { return BTreeSet::new() };
+        let Some(doubt) = self.by_life.get_mut(incarnation) else { return BTreeSet::new() };
         if evidence == Evidence::Unlisted && doubt.broken_off.is_empty() {
             return BTreeSet::new();
         }
@@ -201,22 +216,30 @@
     }
 
     /// Lives with open requests, not known to have ended, that are not among these.
-    pub fn gone(&self, is_listed: impl Fn(&Life) -> bool) -> Vec<Life> {
-        self.open().map(|(life, _)| life).filter(|life| !is_listed(life)).cloned().collect()
+    pub fn unlisted(&self, is_listed: impl Fn(&Incarnation) -> bool) -> Vec<Incarnation> {
+        self.open()
+            .map(|(incarnation, _)| incarnation)
+            .filter(|incarnation| !is_listed(incarnation))
+            .cloned()
+            .collect()
     }
 
     /// The same of other endpoints at an address.
-    pub fn others_at(&self, address: SocketAddr, name: &EndpointName) -> Vec<Life> {
+    pub fn others_at(&self, address: SocketAddr, name: &EndpointName) -> Vec<Incarnation> {
         let others = self.open().filter(|(_, doubt)| doubt.address == Some(address));
-        others.map(|(life, _)| life).filter(|life| life.name != *name).cloned().collect()
+        others
+            .map(|(incarnation, _)| incarnation)
+            .filter(|incarnation| incarnation.name != *name)
+            .cloned()
+            .collect()
     }
 
-    fn open(&self) -> impl Iterator<Item = (&Life, &Doubt)> {
+    fn open(&self) -> impl Iterator<Item = (&Incarnation, &IncarnationRequests)> {
         self.by_life.iter().filter(|(_, doubt)| doubt.ended_ms.is_none())
     }
 
-    fn doubt(&mut self, life: &Life) -> &mut Doubt {
-        self.by_life.entry(life.clone()).or_default()
+    fn doubt(&mut self, incarnation: &Incarnation) -> &mut IncarnationRequests {
+        self.by_life.entry(incarnation.clone()).or_default()
     }
 
     fn forget(&mut self, now_ms: u64) {
@@ -229,7 +252,7 @@
     }
 }
 
-impl Doubt {
+impl IncarnationRequests {
     /// Whether nothing of it is needed any more.
     fn is_empty(&self) -> bool {
         let is_open = !self.running.is_empty() || !self.broken_off.is_empty();
--- a/crates/trestle-dispatch/tests/deciders.rs
+++ b/crates/trestle-dispatch/tests/deciders.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use trestle_core::names::VmName;
 use trestle_dispatch::{
-    deciders::{Deciders, LeaderStart},
+    decision_leaders::{DecisionLeaders, LeaderStart},
     fingerprint::Fingerprint,
     trials::Trials,
 };
@@ -16,17 +16,17 @@
 }
 
 /// Groups that all have had their leaders from the beginning.
-fn settled() -> Deciders {
-    let mut deciders = Deciders::default();
+fn settled() -> DecisionLeaders {
+    let mut decision_leaders = DecisionLeaders::default();
     for (number, group) in GROUPS.into_iter().enumerate() {
-        deciders.note(&group.into(), leader(number as u16 + 1, 1), 0);
+        decision_leaders.record_leader(&group.into(), leader(number as u16 + 1, 1), 0);
     }
-    deciders
+    decision_leaders
 }
 
 /// The group that decides, and one that does not.
-fn first_and_other(deciders: &Deciders) -> (&'static str, &'static str) {
-    let first = deciders.group_for(NAME).expect("somebody leads").as_str();
+fn first_and_other(decision_leaders: &DecisionLeaders) -> (&'static str, &'static str) {
+    let first = decision_leaders.group_for(NAME).expect("somebody leads").as_str();
     let is_first = |group: &&str| *group == first;
     let first = GROUPS.into_iter().find(is_first).expect("one of them");
     (first, GROUPS.into_iter().find(|group| !is_first(group)).expect("another"))
@@ -38,43 +38,43 @@
 
 cases! {
     the_first_leader_of_all_follows_nobody => {
-        let mut deciders = Deciders::default();
-        assert_eq!(deciders.group_for(NAME), None);
-        deciders.note(&"x".into(), leader(1, 1), 500);
-        assert_eq!(deciders.decides_since_ms(NAME), None);
+        let mut decision_leaders = DecisionLeaders::default();
+        assert_eq!(decision_leaders.group_for(NAME), None);
+        decision_leaders.record_leader(&"x".into(), leader(1, 1), 500);
+        assert_eq!(decision_leaders.decides_since_ms(NAME), None);
     }
 
     one_that_takes_a_lease_over_follows_the_one_before => {
-        let mut deciders = settled();
-        let (first, _) = first_and_other(&deciders);
-        deciders.note(&first.into(), leader(9, 2), 5_000);
-        assert_eq!(deciders.decides_since_ms(NAME), Some(5_000));
+        let mut decision_leaders = settled();
+        let (first, _) = first_and_other(&decision_leaders);
+        decision_leaders.record_leader(&first.into(), leader(9, 2), 5_000);
+        assert_eq!(decision_leaders.decides_since_ms(NAME), Some(5_000));
     }
 
     /// The same daemon with a new fencing number has started again, and knows nothing.
     one_that_started_again_follows_itself => {
-        let mut deciders = settled();
-        let (first, _) = first_and_other(&deciders);
+        let mut decision_leaders = settled();
+        let (first, _) = first_and_other(&decision_leaders);
         let number = GROUPS.iter().position(|group| *group == first).expect("one of them");
-        deciders.note(&first.into(), leader(number as u16 + 1, 2), 5_000);
-        assert_eq!(deciders.decides_since_ms(NAME), Some(5_000));
+        decision_leaders.record_leader(&first.into(), leader(number as u16 + 1, 2), 5_000);
+        assert_eq!(decision_leaders.decides_since_ms(NAME), Some(5_000));
     }
 
     one_that_decides_for_want_of_another_follows_that => {
-        let mut deciders = settled();
-        let (first, _) = first_and_other(&deciders);
-        deciders.note(&first.into(), None, 5_000);
-        assert_ne!(deciders.group_for(NAME), Some(&first.into()));
-        assert_eq!(deciders.decides_since_ms(NAME), Some(5_000));
+        let mut decision_leaders = settled();
+        let (first, _) = first_and_other(&decision_leaders);
+        decision_leaders.record_leader(&first.into(), None, 5_000);
+        assert_ne!(decision_leaders.group_for(NAME), Some(&first.into()));
+        assert_eq!(decision_leaders.decides_since_ms(NAME), Some(5_000));
     }
 
     a_change_elsewhere_is_none => {
-        let mut deciders = settled();
-        let (first, other) = first_and_other(&deciders);
-        let before = deciders.decides_since_ms(NAME);
-        deciders.note(&other.into(), leader(9, 2), 5_000);
-        assert_eq!(deciders.group_for(NAME), Some(&first.into()));
-        assert_eq!(deciders.decides_since_ms(NAME), before);
+        let mut decision_leaders = settled();
+        let (first, other) = first_and_other(&decision_leaders);
+        let before = decision_leaders.decides_since_ms(NAME);
+        decision_leaders.record_leader(&other.into(), leader(9, 2), 5_000);
+        assert_eq!(decision_leaders.group_for(NAME), Some(&first.into()));
+        assert_eq!(decision_leaders.decides_since_ms(NAME), before);
     }
 
     /// A leader allows an attempt and is stopped; the next one, which knows nothing of it, is
@@ -82,16 +82,16 @@
     no_second_attempt_runs_after_a_change_of_leaders => {
         let request = Fingerprint::from_bytes([7; 16]);
         let vm = |number: u64| VmName::from(format!("vm-{number}"));
-        let mut deciders = settled();
+        let mut decision_leaders = settled();
         assert!(Trials::default().begin(request, vm(0), 1, 10_000).is_ok());
-        let (first, _) = first_and_other(&deciders);
-        deciders.note(&first.into(), leader(9, 2), 10_500);
+        let (first, _) = first_and_other(&decision_leaders);
+        decision_leaders.record_leader(&first.into(), leader(9, 2), 10_500);
         let mut next = Trials::default();
-        next.decides_since(deciders.decides_since_ms(NAME));
+        next.decides_since(decision_leaders.decides_since_ms(NAME));
         let wait_ms = next.begin(request, vm(1), 1, 10_600).expect_err("it may still run");
         assert!(10_600 + wait_ms >= 13_000, "{wait_ms}");
         let later_ms = 10_600 + wait_ms;
-        next.decides_since(deciders.decides_since_ms(NAME));
+        next.decides_since(decision_leaders.decides_since_ms(NAME));
         assert!(next.begin(request, vm(1), 1, later_ms).is_ok());
     }
 }
--- a/crates/trestle-dispatch/tests/endpoint_limits.rs
+++ b/crates/trestle-dispatch/tests/endpoint_limits.rs
@@ -4,10 +4,10 @@
 use trestle_core::names::DomainName;
 use trestle_dispatch::{
     backpressure::{Answer, Backpressure},
-    endpoint::Life,
-    endpoint_limits::{EndpointLimits, LimitHeard, PLACE_VALID_MS, Place},
-    lender::HeldLease,
-    notice::{Notice, Said},
+    endpoint::Incarnation,
+    endpoint_limits::{EndpointLimits, ObservedLimit, PERMIT_VALID_MS, SendPermit},
+    quota_allocator::HeldLease,
+    signals::{EndpointSignals, HeaderField},
 };
 
 macro_rules! cases {
@@ -34,8 +34,8 @@
 /// For how long they ask.
 const LENGTH_MS: u64 = 40_000;
 
-fn life() -> Life {
-    Life { name: "i-1".into(), born_ms: 7 }
+fn incarnation() -> Incarnation {
+    Incarnation { name: "i-1".into(), started_unix_ms: 7 }
 }
 
 fn group() -> DomainName {
@@ -48,13 +48,13 @@
 }
 
 /// What a daemon is told in answers that name a limit.
-fn names(per_ks: Option<u64>) -> Notice {
-    let limit_per_ks = per_ks.map_or(Said::Nothing, Said::Value);
-    Notice { limit_per_ks, ..Notice::default() }
+fn names(per_ks: Option<u64>) -> EndpointSignals {
+    let limit_per_ks = per_ks.map_or(HeaderField::Absent, HeaderField::Value);
+    EndpointSignals { limit_per_ks, ..EndpointSignals::default() }
 }
 
-fn success<'a>(notice: &'a Notice, sent_ms: u64) -> Answer<'a> {
-    Answer { notice, is_success: true, id: "1", sent_ms }
+fn success<'a>(notice: &'a EndpointSignals, sent_ms: u64) -> Answer<'a> {
+    Answer { signals: notice, is_success: true, id: "1", sent_ms }
 }
 
 /// One daemon.
@@ -116,7 +116,7 @@
                 daemon.answers.extract_if(.., |(at_ms, ..)| *at_ms <= now_ms)
             {
                 let notice = names(per_ks);
-                daemon.backpressure.hear(&life(), success(&notice, sent_ms), now_ms);
+                daemon.backpressure.apply_answer(&incarnation(), success(&notice, sent_ms), now_ms);
                 if per_ks.is_some() {
                     daemon.told_ms.get_or_insert(now_ms);
                 }
@@ -129,47 +129,49 @@
         let now_ms = self.now_ms;
         let daemon = &mut self.daemons[index];
         if now_ms < daemon.frozen_until_ms
-            || daemon.backpressure.closed_for_ms(&life(), now_ms).is_some()
+            || daemon.backpressure.limit_closed_for_ms(&incarnation(), now_ms).is_some()
         {
             return false;
         }
-        let Some(heard) = daemon.backpressure.asking(&life(), now_ms) else {
+        let Some(heard) = daemon.backpressure.permit_requested(&incarnation(), now_ms) else {
             self.send(index, 0);
             return true;
         };
         match self.ask(index, heard) {
-            Place::Lent => {
+            SendPermit::Lent => {
                 // Most leave at once, some as late as they may.
-                let latest_ms = PLACE_VALID_MS + SEND_MS;
+                let latest_ms = PERMIT_VALID_MS + SEND_MS;
                 let late_ms =
                     if self.random.u8(..4) == 0 { self.random.u64(..latest_ms) } else { 0 };
                 self.send(index, late_ms);
                 return true;
             }
-            Place::Refused { in_ms } => {
-                self.daemons[index].backpressure.refused(&life(), in_ms, now_ms)
+            SendPermit::Refused { in_ms } => {
+                self.daemons[index].backpressure.permit_refused(&incarnation(), in_ms, now_ms)
             }
-            Place::NotLending => self.daemons[index].backpressure.asked_in_vain(&life(), now_ms),
-            Place::Lifted => {
-                self.daemons[index].backpressure.lifted(&life(), now_ms);
+            SendPermit::NotLending => {
+                self.daemons[index].backpressure.allocator_unreachable(&incarnation(), now_ms)
+            }
+            SendPermit::Lifted => {
+                self.daemons[index].backpressure.limit_lifted(&incarnation(), now_ms);
             }
         }
         false
     }
 
-    fn ask(&mut self, index: usize, heard: LimitHeard) -> Place {
+    fn ask(&mut self, index: usize, heard: ObservedLimit) -> SendPermit {
         let now_ms = self.now_ms;
         let asked = if self.random.u8(..4) == 0 { self.former } else { self.leader };
         let is_reached = now_ms >= self.daemons[index].cut_off_until_ms || index == asked;
         let holds = asked == self.leader && now_ms >= self.leads_from_ms;
         let daemon = &mut self.daemons[asked];
         if !is_reached || now_ms < daemon.cut_off_until_ms || now_ms < daemon.frozen_until_ms {
-            return Place::NotLending;
+            return SendPermit::NotLending;
         }
         let held = holds.then(|| lease(self.token, now_ms));
-        let place = daemon.limits.ask(&life(), &group(), held, heard, now_ms);
+        let place = daemon.limits.request_permit(&incarnation(), &group(), held, heard, now_ms);
         // An answer that is lost may have lent.
-        if self.random.u8(..50) == 0 { Place::NotLending } else { place }
+        if self.random.u8(..50) == 0 { SendPermit::NotLending } else { place }
     }
 
     fn send(&mut self, index: usize, late_ms: u64) {
@@ -349,31 +351,31 @@
     what_is_heard_of_one_life_says_nothing_of_the_next => {
         let mut backpressure = Backpressure::default();
         let notice = names(Some(1_000));
-        backpressure.hear(&life(), success(&notice, 0), 10);
-        assert!(backpressure.limit(&life()).is_some());
-        assert!(backpressure.limit(&Life { born_ms: 8, ..life() }).is_none());
+        backpressure.apply_answer(&incarnation(), success(&notice, 0), 10);
+        assert!(backpressure.limit(&incarnation()).is_some());
+        assert!(backpressure.limit(&Incarnation { started_unix_ms: 8, ..incarnation() }).is_none());
     }
 
     an_answer_that_was_under_way_lifts_nothing => {
         let mut backpressure = Backpressure::default();
         let (named, silent) = (names(Some(1_000)), names(None));
-        backpressure.hear(&life(), success(&named, 0), 100);
-        backpressure.hear(&life(), success(&silent, 50), 110);
-        assert_eq!(backpressure.asking(&life(), 200).map(|heard| heard.silent), Some(0));
-        backpressure.hear(&life(), success(&silent, 100), 210);
-        assert_eq!(backpressure.asking(&life(), 300).map(|heard| heard.silent), Some(1));
+        backpressure.apply_answer(&incarnation(), success(&named, 0), 100);
+        backpressure.apply_answer(&incarnation(), success(&silent, 50), 110);
+        assert_eq!(backpressure.permit_requested(&incarnation(), 200).map(|heard| heard.answers_without_limit), Some(0));
+        backpressure.apply_answer(&incarnation(), success(&silent, 100), 210);
+        assert_eq!(backpressure.permit_requested(&incarnation(), 300).map(|heard| heard.answers_without_limit), Some(1));
     }
 
     what_cannot_be_read_changes_nothing_and_is_said_once => {
         let mut backpressure = Backpressure::default();
-        let (named, odd) = (names(Some(1_000)), Notice {
-            limit_per_ks: Said::unreadable("NaN"),
-            ..Notice::default()
+        let (named, odd) = (names(Some(1_000)), EndpointSignals {
+            limit_per_ks: HeaderField::unreadable("NaN"),
+            ..EndpointSignals::default()
         });
-        backpressure.hear(&life(), success(&named, 0), 100);
-        assert_eq!(backpressure.hear(&life(), success(&odd, 150), 160).len(), 1);
-        assert_eq!(backpressure.hear(&life(), success(&odd, 170), 180).len(), 0);
-        assert_eq!(backpressure.limit(&life()).map(|limit| limit.per_ks), Some(1_000));
-        assert_eq!(backpressure.asking(&life(), 200).map(|heard| heard.silent), Some(0));
+        backpressure.apply_answer(&incarnation(), success(&named, 0), 100);
+        assert_eq!(backpressure.apply_answer(&incarnation(), success(&odd, 150), 160).len(), 1);
+        assert_eq!(backpressure.apply_answer(&incarnation(), success(&odd, 170), 180).len(), 0);
+        assert_eq!(backpressure.limit(&incarnation()).map(|limit| limit.per_ks), Some(1_000));
+        assert_eq!(backpressure.permit_requested(&incarnation(), 200).map(|heard| heard.answers_without_limit), Some(0));
     }
 }
--- a/crates/trestle-dispatch/tests/identity.rs
+++ b/crates/trestle-dispatch/tests/identity.rs
@@ -79,17 +79,17 @@
 #[test]
 fn without_teams_nobody_is_asked() {
     let identity = Identity::of(&catalog(&[]), &route(false), key("x"), OLD);
-    assert_eq!(identity, Ok(Identity::NotAsked));
+    assert_eq!(identity, Ok(Identity::NotRequired));
 }
 
 #[test]
 fn a_key_that_was_taken_away_or_given_to_others_no_longer_counts() {
     let before = catalog(&[("red", &["r1", "r2"])]);
     let identity = Identity::of(&before, &route(false), key("r1"), CERTAIN).expect("it is known");
-    assert!(identity.still_counts(&before));
-    assert!(!identity.still_counts(&catalog(&[("red", &["r2"])])));
-    assert!(!identity.still_counts(&catalog(&[("red", &["r2"]), ("blue", &["r1"])])));
-    assert!(!identity.still_counts(&catalog(&[])));
+    assert!(identity.is_still_valid(&before));
+    assert!(!identity.is_still_valid(&catalog(&[("red", &["r2"])])));
+    assert!(!identity.is_still_valid(&catalog(&[("red", &["r2"]), ("blue", &["r1"])])));
+    assert!(!identity.is_still_valid(&catalog(&[])));
 }
 
 #[test]
@@ -102,6 +102,6 @@
 fn what_a_request_counts_depends_on_the_unit() {
     let limit = |unit| TeamLimit { unit, per_s: 1, burst: 1 };
     assert_eq!(limit(LimitUnit::Requests).cost(Some(900)), 1);
-    assert_eq!(limit(LimitUnit::Tokens { of_plain: 200 }).cost(Some(900)), 900);
-    assert_eq!(limit(LimitUnit::Tokens { of_plain: 200 }).cost(None), 200);
+    assert_eq!(limit(LimitUnit::Tokens { default_tokens: 200 }).cost(Some(900)), 900);
+    assert_eq!(limit(LimitUnit::Tokens { default_tokens: 200 }).cost(None), 200);
 }
--- a/crates/trestle-dispatch/tests/listing.rs
+++ b/crates/trestle-dispatch/tests/listing.rs
@@ -5,9 +5,9 @@
 use common::endpoint;
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_dispatch::{
-    beliefs::Beliefs,
     endpoint::Endpoint,
-    listing::{ListedEntry, Listing, News, Source},
+    listing::{ListUpdate, ListedEntry, Listing, Source},
+    local_view::LocalView,
     retry_share::RetryBounds,
 };
 
@@ -26,22 +26,22 @@
     listed(entry(key, slots), at)
 }
 
-fn whole(table: &Table, version: u64) -> News {
+fn whole(table: &Table, version: u64) -> ListUpdate {
     let written = table.iter().map(|(key, (slots, at))| written(key, *slots, *at)).collect();
-    News { is_whole: true, written, removed: Vec::new(), version }
+    ListUpdate { is_whole: true, written, removed: Vec::new(), version }
 }
 
 fn one(key: &str, slots: u32, at: u64) -> Table {
     Table::from([(key.to_owned(), (slots, at))])
 }
 
-fn partial(rows: Vec<ListedEntry>, removed: &[(&str, u64)], version: u64) -> News {
+fn partial(rows: Vec<ListedEntry>, removed: &[(&str, u64)], version: u64) -> ListUpdate {
     let removed = removed.iter().map(|(key, at)| ((*key).to_owned(), *at)).collect();
-    News { is_whole: false, written: rows, removed, version }
+    ListUpdate { is_whole: false, written: rows, removed, version }
 }
 
 fn content(listing: &Listing) -> BTreeMap<String, u32> {
-    let all = listing.after(0);
+    let all = listing.changes_since(0);
     all.written.into_iter().map(|entry| (entry.key, entry.endpoint.slots)).collect()
 }
 
@@ -49,25 +49,25 @@
     content(listing).into_keys().collect()
 }
 
-fn beliefs() -> Beliefs {
-    Beliefs::new("z".into(), 2_000, RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 10 })
+fn local_view() -> LocalView {
+    LocalView::new("z".into(), 2_000, RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 10 })
 }
 
 /// Takes news as a daemon does.
-fn hear(beliefs: &mut Beliefs, news: News, source: Source) {
-    let fresh = beliefs.listing.take(news, source);
+fn hear(local_view: &mut LocalView, news: ListUpdate, source: Source) {
+    let fresh = local_view.listing.apply(news, source);
     for entry in fresh.written {
-        beliefs.take_entry(entry, source);
+        local_view.apply_entry(entry, source);
     }
     for (key, _) in fresh.removed {
-        beliefs.directory.removed(&key.as_str().into(), 10_000);
+        local_view.directory.apply_removal(&key.as_str().into(), 10_000);
     }
 }
 
 /// Endpoints that a daemon may send to.
-fn usable(beliefs: &Beliefs) -> Vec<String> {
+fn usable(local_view: &LocalView) -> Vec<String> {
     let service = "s".into();
-    beliefs.directory.usable(&service).map(|endpoint| endpoint.name.to_string()).collect()
+    local_view.directory.usable(&service).map(|endpoint| endpoint.name.to_string()).collect()
 }
 
 macro_rules! cases {
@@ -77,36 +77,36 @@
 cases! {
     nothing_is_news_twice => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         let news = partial(vec![written("b", 2, 7)], &[("a", 8)], 8);
-        let fresh = listing.take(news.clone(), Source::Leader);
+        let fresh = listing.apply(news.clone(), Source::Leader);
         assert_eq!((fresh.written.len(), fresh.removed.len()), (1, 1));
-        let again = listing.take(news, Source::Leader);
+        let again = listing.apply(news, Source::Leader);
         assert_eq!((again.written.len(), again.removed.len()), (0, 0));
     }
 
     an_older_whole_table_does_not_undo_anything => {
         let mut listing = Listing::default();
         let table = Table::from([("a".to_owned(), (1, 5)), ("b".to_owned(), (1, 9))]);
-        listing.take(whole(&table, 9), Source::Store);
-        let fresh = listing.take(whole(&one("a", 0, 3), 4), Source::Store);
+        listing.apply(whole(&table, 9), Source::Store);
+        let fresh = listing.apply(whole(&one("a", 0, 3), 4), Source::Store);
         assert!(!fresh.is_whole);
         assert_eq!(content(&listing), BTreeMap::from([("a".to_owned(), 1), ("b".to_owned(), 1)]));
     }
 
     nor_does_it_bring_back_what_was_removed => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
-        listing.take(partial(vec![], &[("a", 8)], 8), Source::Store);
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(partial(vec![], &[("a", 8)], 8), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         assert!(content(&listing).is_empty());
     }
 
     nor_what_a_leader_said_was_removed => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
-        listing.take(partial(vec![], &[("a", 8)], 8), Source::Leader);
-        let fresh = listing.take(whole(&one("a", 1, 5), 7), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(partial(vec![], &[("a", 8)], 8), Source::Leader);
+        let fresh = listing.apply(whole(&one("a", 1, 5), 7), Source::Store);
         assert!(fresh.written.is_empty());
         assert!(content(&listing).is_empty());
     }
@@ -115,9 +115,9 @@
     nothing_from_before_a_whole_list_brings_back_what_is_not_in_it => {
         for source in [Source::Store, Source::Leader] {
             let mut listing = Listing::default();
-            listing.take(whole(&one("a", 1, 55), 60), Source::Store);
-            listing.take(whole(&Table::new(), 100), Source::Store);
-            let fresh = listing.take(partial(vec![written("a", 1, 55)], &[], 60), source);
+            listing.apply(whole(&one("a", 1, 55), 60), Source::Store);
+            listing.apply(whole(&Table::new(), 100), Source::Store);
+            let fresh = listing.apply(partial(vec![written("a", 1, 55)], &[], 60), source);
             assert!(fresh.written.is_empty());
             assert!(content(&listing).is_empty());
         }
@@ -126,51 +126,51 @@
     // The endpoint had come and gone while an answer of the store was on its way.
     nor_an_answer_that_was_made_before_a_leader_said_that_it_came_and_went => {
         let mut listing = Listing::default();
-        listing.take(whole(&Table::new(), 50), Source::Store);
-        listing.take(partial(vec![], &[("a", 70)], 80), Source::Leader);
-        listing.take(partial(vec![written("a", 1, 60)], &[], 65), Source::Store);
+        listing.apply(whole(&Table::new(), 50), Source::Store);
+        listing.apply(partial(vec![], &[("a", 70)], 80), Source::Leader);
+        listing.apply(partial(vec![written("a", 1, 60)], &[], 65), Source::Store);
         assert!(content(&listing).is_empty());
     }
 
     a_whole_list_names_what_is_gone_by_its_removal => {
         let mut listing = Listing::default();
         let table = Table::from([("a".to_owned(), (1, 5)), ("b".to_owned(), (1, 9))]);
-        listing.take(whole(&table, 9), Source::Store);
-        let fresh = listing.take(whole(&one("b", 1, 9), 12), Source::Leader);
+        listing.apply(whole(&table, 9), Source::Store);
+        let fresh = listing.apply(whole(&one("b", 1, 9), 12), Source::Leader);
         assert_eq!(fresh.removed, [("a".to_owned(), 12)]);
         assert_eq!(keys(&listing), ["b"]);
     }
 
     an_entry_says_more_than_what_a_leader_has_passed_on_of_it => {
         let mut listing = Listing::default();
-        listing.take(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
-        let fresh = listing.take(partial(vec![written("a", 1, 5)], &[], 5), Source::Store);
+        listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
+        let fresh = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Store);
         assert_eq!(fresh.written.len(), 1);
-        let fresh = listing.take(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
+        let fresh = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
         assert!(fresh.written.is_empty());
     }
 
     what_changes_nothing_but_what_an_engine_holds_is_not_passed_on => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         let mut holds = endpoint("a", "z", &["m"]);
         (holds.slots, holds.entry_number) = (1, 9);
-        listing.take(partial(vec![listed(holds, 8)], &[], 8), Source::Store);
-        assert!(listing.after(6).written.is_empty());
-        listing.take(partial(vec![written("a", 2, 9)], &[], 9), Source::Store);
-        assert_eq!(listing.after(6).written.len(), 1);
+        listing.apply(partial(vec![listed(holds, 8)], &[], 8), Source::Store);
+        assert!(listing.changes_since(6).written.is_empty());
+        listing.apply(partial(vec![written("a", 2, 9)], &[], 9), Source::Store);
+        assert_eq!(listing.changes_since(6).written.len(), 1);
     }
 
     who_is_behind_the_known_removals_gets_everything => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 10), Source::Store);
-        assert!(listing.after(9).is_whole);
-        assert!(!listing.after(10).is_whole);
+        listing.apply(whole(&one("a", 1, 5), 10), Source::Store);
+        assert!(listing.changes_since(9).is_whole);
+        assert!(!listing.changes_since(10).is_whole);
     }
 
     an_entry_that_no_longer_tells_its_start_is_another_writers => {
-        let mut known = beliefs();
-        let own = Endpoint { born_ms: 10, ..entry("a", 1) };
+        let mut known = local_view();
+        let own = Endpoint { started_unix_ms: 10, ..entry("a", 1) };
         hear(&mut known, partial(vec![listed(own, 5)], &[], 5), Source::Store);
         hear(&mut known, partial(vec![written("a", 1, 6)], &[], 6), Source::Store);
         assert!(usable(&known).is_empty());
@@ -179,8 +179,8 @@
     }
 
     one_that_tells_its_start_takes_no_other_with_it => {
-        let mut known = beliefs();
-        let own = Endpoint { born_ms: 10, ..entry("a", 1) };
+        let mut known = local_view();
+        let own = Endpoint { started_unix_ms: 10, ..entry("a", 1) };
         let news = partial(vec![listed(own, 5), written("b", 1, 6)], &[], 6);
         hear(&mut known, news, Source::Store);
         hear(&mut known, partial(vec![written("b", 2, 7)], &[], 7), Source::Store);
@@ -189,55 +189,55 @@
 
     no_entry_need_tell_its_start_where_none_does => {
         let mut listing = Listing::default();
-        listing.take(whole(&one("a", 1, 5), 6), Source::Store);
+        listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         assert_eq!(keys(&listing), ["a"]);
     }
 
     // A daemon that has just started reads an entry of before, or hears it from a leader that has.
     what_was_seen_leaving_is_passed_on_as_leaving => {
-        let (mut old, mut new) = (beliefs(), beliefs());
-        let mut leaving = Endpoint { born_ms: 7, ..entry("a", 1) };
+        let (mut old, mut new) = (local_view(), local_view());
+        let mut leaving = Endpoint { started_unix_ms: 7, ..entry("a", 1) };
         let ready = leaving.clone();
-        (leaving.is_leaving, leaving.entry_number) = (true, 5);
+        (leaving.is_draining, leaving.entry_number) = (true, 5);
         hear(&mut old, partial(vec![listed(leaving, 5)], &[], 5), Source::Store);
         hear(&mut old, partial(vec![listed(ready, 9)], &[], 9), Source::Store);
         assert!(usable(&old).is_empty());
-        hear(&mut new, old.list_after(0), Source::Leader);
+        hear(&mut new, old.list_since(0), Source::Leader);
         assert!(usable(&new).is_empty());
     }
 
     what_was_passed_over_is_passed_on_as_gone => {
-        let (mut old, mut new) = (beliefs(), beliefs());
-        let ready = Endpoint { born_ms: 7, ..entry("a", 1) };
+        let (mut old, mut new) = (local_view(), local_view());
+        let ready = Endpoint { started_unix_ms: 7, ..entry("a", 1) };
         hear(&mut old, partial(vec![listed(ready.clone(), 5)], &[], 5), Source::Store);
         hear(&mut old, partial(vec![], &[("a", 6)], 6), Source::Store);
         hear(&mut old, partial(vec![listed(ready.clone(), 9)], &[], 9), Source::Store);
         assert!(usable(&old).is_empty());
-        hear(&mut new, old.list_after(0), Source::Leader);
+        hear(&mut new, old.list_since(0), Source::Leader);
         assert!(usable(&new).is_empty());
         // What it writes itself after that counts.
         let back = Endpoint { entry_number: 2, ..ready };
         hear(&mut old, partial(vec![listed(back, 12)], &[], 12), Source::Store);
-        hear(&mut new, old.list_after(9), Source::Leader);
+        hear(&mut new, old.list_since(9), Source::Leader);
         assert_eq!((usable(&old), usable(&new)), (vec!["a".to_owned()], vec!["a".to_owned()]));
     }
 
     // An endpoint enters itself, is gone, starts again under its name, and leaves: news of these
     // come in every order, from the store and from a leader by turns, and all of them twice.
     news_in_any_order_lead_to_the_newest => {
-        let life = |born_ms: u64, is_leaving: bool| {
-            Endpoint { born_ms, is_leaving, ..entry("a", 1) }
+        let incarnation = |born_ms: u64, is_leaving: bool| {
+            Endpoint { started_unix_ms: born_ms, is_draining: is_leaving, ..entry("a", 1) }
         };
         let news = [
-            partial(vec![listed(life(10, false), 1)], &[], 1),
+            partial(vec![listed(incarnation(10, false), 1)], &[], 1),
             partial(vec![], &[("a", 2)], 2),
-            partial(vec![listed(life(20, false), 3)], &[], 3),
-            partial(vec![listed(life(20, true), 4)], &[], 4),
+            partial(vec![listed(incarnation(20, false), 3)], &[], 3),
+            partial(vec![listed(incarnation(20, true), 4)], &[], 4),
         ];
         let states: [&[&str]; 5] = [&[], &["a"], &[], &["a"], &[]];
         for lots in 0..4_u64.pow(8) {
             let order = (0..8).map(|place| (lots / 4_u64.pow(place) % 4) as usize);
-            let mut known = beliefs();
+            let mut known = local_view();
             let mut newest = 0;
             for (turn, number) in order.enumerate() {
                 let source = [Source::Store, Source::Leader][turn % 2];
@@ -269,7 +269,7 @@
 struct Message {
     due: u64,
     copy: usize,
-    news: News,
+    news: ListUpdate,
     source: Source,
 }
 
@@ -308,7 +308,7 @@
     }
 
     /// What the store tells of changes; a feed names each key once, with its newest state.
-    fn feed(&self, after: u64) -> News {
+    fn feed(&self, after: u64) -> ListUpdate {
         let mut news = partial(vec![], &[], self.version);
         let mut named = BTreeSet::new();
         for (at, key, row) in self.history.iter().rev().filter(|(at, ..)| *at > after) {
@@ -340,7 +340,7 @@
         }
         news.written.iter().for_each(|entry| hear(&entry.key, entry.version));
         news.removed.iter().for_each(|(key, at)| hear(key, *at));
-        self.copies[copy].take(news, source);
+        self.copies[copy].apply(news, source);
         let content = content(&self.copies[copy]);
         for (key, at) in &self.heard[copy] {
             let expected = self.state(key, *at);
@@ -362,7 +362,7 @@
             0 => Some((whole(&world.table, world.version), Source::Store)),
             1 if after > 0 => Some((world.feed(after), Source::Store)),
             2 if world.copies[(copy + 1) % 3].version() > 0 => {
-                Some((world.copies[(copy + 1) % 3].after(after), Source::Leader))
+                Some((world.copies[(copy + 1) % 3].changes_since(after), Source::Leader))
             }
             _ => None,
         };
@@ -374,12 +374,12 @@
     }
     on_their_way.into_iter().for_each(|message| world.take(message, seed));
     let newest = whole(&world.table, world.version);
-    world.copies[0].take(newest, Source::Store);
+    world.copies[0].apply(newest, Source::Store);
     let expected: BTreeMap<String, u32> =
         world.table.iter().map(|(key, (row, _))| (key.clone(), *row)).collect();
     for number in 1..3 {
-        let news = world.copies[0].after(world.copies[number].version());
-        world.copies[number].take(news, Source::Leader);
+        let news = world.copies[0].changes_since(world.copies[number].version());
+        world.copies[number].apply(news, Source::Leader);
         assert_eq!(content(&world.copies[number]), expected, "seed {seed}, copy {number}");
     }
 }
--- a/crates/trestle-dispatch/tests/orders.rs
+++ b/crates/trestle-dispatch/tests/orders.rs
@@ -141,7 +141,7 @@
     fn report(&mut self, now_ms: u64) -> EngineReport {
         self.carry_out_late(now_ms);
         EngineReport {
-            born_ms: 0,
+            started_unix_ms: 0,
             held: self.held.clone(),
             is_busy: now_ms < self.busy_until_ms,
             order_count: self.order_count,
--- a/crates/trestle-dispatch/tests/quota.rs
+++ b/crates/trestle-dispatch/tests/quota.rs
@@ -5,8 +5,8 @@
 use trestle_core::names::{DomainName, TeamName};
 use trestle_dispatch::{
     allowance::Allowances,
-    lender::{HeldLease, Lender, Loan},
     quota::{QuotaBounds, QuotaPlan},
+    quota_allocator::{Allocation, HeldLease, QuotaAllocator},
     team::{LimitUnit, TeamLimit},
 };
 
@@ -21,7 +21,7 @@
 const USUAL: u64 = 1_000;
 
 fn limit(per_s: u64) -> TeamLimit {
-    TeamLimit { unit: LimitUnit::Tokens { of_plain: 200 }, per_s, burst: per_s }
+    TeamLimit { unit: LimitUnit::Tokens { default_tokens: 200 }, per_s, burst: per_s }
 }
 
 fn plan(per_s: u64) -> QuotaPlan {
@@ -50,7 +50,7 @@
     former: [usize; GROUPS],
     /// The tokens of their leases.
     tokens: [u64; GROUPS],
-    lenders: Vec<Lender>,
+    lenders: Vec<QuotaAllocator>,
     allowances: Vec<Allowances>,
     spent: Vec<(u64, u64)>,
     refused: u64,
@@ -70,7 +70,7 @@
             leaders: [0, 1, 2],
             former: [0, 1, 2],
             tokens: [1; GROUPS],
-            lenders: (0..DAEMONS).map(|_| Lender::default()).collect(),
+            lenders: (0..DAEMONS).map(|_| QuotaAllocator::default()).collect(),
             allowances: (0..DAEMONS).map(|_| Allowances::default()).collect(),
             spent: Vec::new(),
             refused: 0,
@@ -82,13 +82,13 @@
     }
 
     fn set_groups(&mut self) {
-        for (daemon, lender) in self.lenders.iter_mut().enumerate() {
+        for (daemon, quota_allocator) in self.lenders.iter_mut().enumerate() {
             let led = (0..GROUPS).filter(|group| self.leaders[*group] == daemon);
             let led = led.map(|group| {
                 let lease = HeldLease { token: self.tokens[group], until_ms: u64::MAX };
                 (format!("z{group}").into(), lease)
             });
-            lender.set_leases(&led.collect(), self.now_ms);
+            quota_allocator.set_leases(&led.collect(), self.now_ms);
         }
     }
 
@@ -97,7 +97,7 @@
         let group = self.random.usize(..GROUPS);
         let leader = self.random.usize(..DAEMONS);
         if self.random.bool() {
-            self.lenders[self.leaders[group]] = Lender::default();
+            self.lenders[self.leaders[group]] = QuotaAllocator::default();
         }
         self.former[group] = self.leaders[group];
         self.leaders[group] = leader;
@@ -112,42 +112,44 @@
             self.spent.push((now_ms, units));
             return true;
         }
-        if self.allowances[daemon].spent_out_for_ms(&team, now_ms).is_some() {
+        if self.allowances[daemon].exhausted_for_ms(&team, now_ms).is_some() {
             self.refused += units;
             return false;
         }
         let asks_former = self.random.u32(..4) == 0;
         let asked = if asks_former { &self.former } else { &self.leaders };
         let leader = asked[daemon % GROUPS];
-        let mut loan = self.lenders[leader].lend(&team, units, &plan, now_ms);
-        if matches!(loan, Loan::Refused { .. })
-            && let Some(wanted) = self.lenders[leader].to_ask_others(&team, units, &plan, now_ms)
+        let mut loan = self.lenders[leader].allocate(&team, units, &plan, now_ms);
+        if matches!(loan, Allocation::Refused { .. })
+            && let Some(wanted) = self.lenders[leader].units_to_request(&team, units, &plan, now_ms)
         {
             let others: Vec<usize> =
                 self.leaders.iter().copied().filter(|l| *l != leader).collect();
-            let given: u64 =
-                others.iter().map(|o| self.lenders[*o].give(&team, wanted, &plan, now_ms)).sum();
+            let given: u64 = others
+                .iter()
+                .map(|o| self.lenders[*o].transfer_out(&team, wanted, &plan, now_ms))
+                .sum();
             if given == 0 {
-                self.lenders[leader].nothing_given(&team, now_ms);
+                self.lenders[leader].record_empty_transfer(&team, now_ms);
             }
             // Some answers are lost, and what they gave with them.
             if !self.is_troubled || self.random.u32(..10) > 0 {
-                self.lenders[leader].receive(&team, given, &plan, now_ms);
+                self.lenders[leader].transfer_in(&team, given, &plan, now_ms);
             }
-            loan = self.lenders[leader].lend(&team, units, &plan, now_ms);
+            loan = self.lenders[leader].allocate(&team, units, &plan, now_ms);
         }
         match loan {
-            Loan::Lent(lent) => {
+            Allocation::Lent(lent) => {
                 // What was lent is spent at once, or at any time until it no longer can be.
                 let late_ms = if self.random.bool() { self.random.u64(..self.valid_ms) } else { 0 };
                 self.spent.push((now_ms + late_ms, lent));
                 true
             }
-            Loan::NotLending => {
+            Allocation::NotLending => {
                 self.refused += units;
                 false
             }
-            Loan::Refused { in_ms } => {
+            Allocation::Refused { in_ms } => {
                 self.allowances[daemon].refused(&team, in_ms, now_ms);
                 self.refused += units;
                 false
@@ -231,23 +233,23 @@
     }
 
     a_leader_starts_with_nothing => {
-        let (plan, mut lender) = (plan(30_000), Lender::default());
-        lender.set_leases(&leases(1), 10_000);
-        assert!(matches!(lender.lend(&team(), USUAL, &plan, 10_000), Loan::Refused { .. }));
-        assert_eq!(lender.lend(&team(), USUAL, &plan, 10_200), Loan::Lent(USUAL));
+        let (plan, mut quota_allocator) = (plan(30_000), QuotaAllocator::default());
+        quota_allocator.set_leases(&leases(1), 10_000);
+        assert!(matches!(quota_allocator.allocate(&team(), USUAL, &plan, 10_000), Allocation::Refused { .. }));
+        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, 10_200), Allocation::Lent(USUAL));
     }
 
     // The entries of all endpoints of a failure domain lapsed, and the leader of all earned a
     // half for each of three.
     a_leader_of_more_groups_than_are_listed_earns_the_limit_at_most => {
-        let mut lender: Lender = Lender::default();
-        lender.set_sharing(2);
-        lender.set_leases(&leases(3), 0);
+        let mut quota_allocator: QuotaAllocator = QuotaAllocator::default();
+        quota_allocator.set_group_count(2);
+        quota_allocator.set_leases(&leases(3), 0);
         let (limit, bounds) = (limit(4_200), QuotaBounds { fixed: 0.0, ..BOUNDS });
-        let plan = lender.plan(&limit, &bounds);
+        let plan = quota_allocator.plan(&limit, &bounds);
         let mut lent = 0;
         for now_ms in 10_000..18_000 {
-            while let Loan::Lent(units) = lender.lend(&team(), 1, &plan, now_ms) {
+            while let Allocation::Lent(units) = quota_allocator.allocate(&team(), 1, &plan, now_ms) {
                 lent += units;
             }
         }
@@ -256,31 +258,31 @@
 
     // The store is away: nobody renews, and nobody can follow.
     a_leader_whose_lease_ran_out_lends_what_it_had_for_a_while => {
-        let (plan, mut lender) = (plan(30_000), Lender::default());
-        lender.set_leases(&leases(1), 0);
-        assert_eq!(lender.lend(&team(), 1, &plan, 9_000), Loan::Lent(1));
-        lender.set_leases(&BTreeMap::new(), 9_000);
-        assert_eq!(lender.lend(&team(), USUAL, &plan, 9_500), Loan::Lent(USUAL));
-        assert_eq!(lender.give(&team(), USUAL, &plan, 9_500), 0);
+        let (plan, mut quota_allocator) = (plan(30_000), QuotaAllocator::default());
+        quota_allocator.set_leases(&leases(1), 0);
+        assert_eq!(quota_allocator.allocate(&team(), 1, &plan, 9_000), Allocation::Lent(1));
+        quota_allocator.set_leases(&BTreeMap::new(), 9_000);
+        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, 9_500), Allocation::Lent(USUAL));
+        assert_eq!(quota_allocator.transfer_out(&team(), USUAL, &plan, 9_500), 0);
         let emptied_ms = 9_000 + (plan.most_units / plan.units_per_ms) as u64;
-        assert_eq!(lender.lend(&team(), USUAL, &plan, emptied_ms), Loan::NotLending);
+        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, emptied_ms), Allocation::NotLending);
     }
 
     what_is_told_a_refused_caller_comes_true => {
-        let (plan, mut lender) = (plan(4_200), Lender::default());
-        lender.set_leases(&leases(GROUPS), 0);
-        let Loan::Refused { in_ms } = lender.lend(&team(), USUAL, &plan, 0) else { panic!("lent") };
+        let (plan, mut quota_allocator) = (plan(4_200), QuotaAllocator::default());
+        quota_allocator.set_leases(&leases(GROUPS), 0);
+        let Allocation::Refused { in_ms } = quota_allocator.allocate(&team(), USUAL, &plan, 0) else { panic!("lent") };
         assert!((200..300).contains(&in_ms), "{in_ms}");
-        assert_eq!(lender.lend(&team(), USUAL, &plan, in_ms), Loan::Lent(USUAL));
+        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, in_ms), Allocation::Lent(USUAL));
     }
 
     a_limit_that_is_lowered_empties_its_bucket => {
-        let mut lender = Lender::default();
-        lender.set_leases(&leases(1), 0);
-        assert_eq!(lender.lend(&team(), USUAL, &plan(273_068), 9_000), Loan::Lent(USUAL));
+        let mut quota_allocator = QuotaAllocator::default();
+        quota_allocator.set_leases(&leases(1), 0);
+        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan(273_068), 9_000), Allocation::Lent(USUAL));
         let low = plan(600);
         let mut lent = 0;
-        while let Loan::Lent(units) = lender.lend(&team(), 100, &low, 9_000) {
+        while let Allocation::Lent(units) = quota_allocator.allocate(&team(), 100, &low, 9_000) {
             lent += units;
         }
         assert!(lent as f64 <= low.most_units);
@@ -298,9 +300,9 @@
     a_daemon_does_not_ask_again_while_nothing_is_left => {
         let mut allowances = Allowances::default();
         allowances.refused(&team(), 300, 1_000);
-        assert_eq!(allowances.spent_out_for_ms(&team(), 1_100), Some(200));
-        assert_eq!(allowances.spent_out_for_ms(&team(), 1_300), None);
+        assert_eq!(allowances.exhausted_for_ms(&team(), 1_100), Some(200));
+        assert_eq!(allowances.exhausted_for_ms(&team(), 1_300), None);
         allowances.refused(&team(), 60_000, 2_000);
-        assert_eq!(allowances.spent_out_for_ms(&team(), 2_000), Some(500));
+        assert_eq!(allowances.exhausted_for_ms(&team(), 2_000), Some(500));
     }
 }
--- a/crates/trestle-dispatch/tests/selection.rs
+++ b/crates/trestle-dispatch/tests/selection.rs
@@ -7,10 +7,10 @@
 use trestle_core::names::{EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
     admission::Reason,
-    beliefs::Beliefs,
     endpoint::Endpoint,
     loadable::Loadable,
-    replicas::{EngineNote, ReplicaView},
+    local_view::LocalView,
+    replicas::{EngineSummary, ReplicaView},
     request::RequestHead,
     retry_share::RetryBounds,
     route::{Route, RouteKind},
@@ -22,7 +22,7 @@
 const ALLOWED_MS: u64 = 15_000;
 
 struct Scene {
-    beliefs: Beliefs,
+    local_view: LocalView,
     route: Route,
     service: ServiceName,
     head: RequestHead,
@@ -34,13 +34,13 @@
     /// A request for a model at a daemon that knows these engines and has a leader.
     fn new(engines: Vec<Endpoint>, model: &str) -> Self {
         let bounds = RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 52 };
-        let mut beliefs = Beliefs::new("z".into(), 2_000, bounds);
-        beliefs.directory.replaced(engines, 0);
-        beliefs.note_leader(true, 0);
-        beliefs.learn("s".into(), ReplicaView::default(), 0, NOW_MS);
+        let mut local_view = LocalView::new("z".into(), 2_000, bounds);
+        local_view.directory.replace_all(engines, 0);
+        local_view.record_leader(true, 0);
+        local_view.update_replicas("s".into(), ReplicaView::default(), 0, NOW_MS);
         let head = RequestHead { model: Some(model.into()), ..RequestHead::default() };
         let route = route("/", RouteKind::Stream { is_resumable: true });
-        Self { beliefs, route, service: "s".into(), head, sends: Sends::default(), wish: None }
+        Self { local_view, route, service: "s".into(), head, sends: Sends::default(), wish: None }
     }
 
     fn asking(&self, elapsed_ms: u64) -> Asking<'_> {
@@ -58,7 +58,7 @@
     }
 
     fn select(&mut self, elapsed_ms: u64) -> Selection {
-        let Self { beliefs, route, service, head, sends, wish } = self;
+        let Self { local_view, route, service, head, sends, wish } = self;
         let asking = Asking {
             route,
             service,
@@ -70,21 +70,21 @@
             is_paid: true,
             place: None,
         };
-        selection::select(beliefs, asking, sends, 1, NOW_MS + elapsed_ms)
+        selection::select(local_view, asking, sends, 1, NOW_MS + elapsed_ms)
     }
 
     fn wait(&mut self) {
         let wish = selection::wish(self.asking(0), NOW_MS + 2_500).expect("it names a model");
-        self.beliefs.asked_of(&"s".into()).waiting.insert(1, wish);
+        self.local_view.local_demand_for(&"s".into()).waiting.insert(1, wish);
         self.wish = Some(1);
     }
 
     /// The daemon tells, and the leader has planned with what it told.
     fn answer(&mut self, ready_in_ms: &[(&str, u64)]) {
-        let number = self.beliefs.asked_of(&"s".into()).digest(false, NOW_MS).number;
+        let number = self.local_view.local_demand_for(&"s".into()).report(false, NOW_MS).number;
         let ready = ready_in_ms.iter().map(|(model, ms)| (Loadable::model(&(*model).into()), *ms));
         let view = ReplicaView { ready_in_ms: ready.collect(), ..ReplicaView::default() };
-        assert!(self.beliefs.learn("s".into(), view, number, NOW_MS), "it is news");
+        assert!(self.local_view.update_replicas("s".into(), view, number, NOW_MS), "it is news");
     }
 }
 
@@ -140,12 +140,12 @@
         let engines = vec![endpoint("x", "z", &["a"]), endpoint("y", "z", &["a"])];
         let mut scene = Scene::new(engines, "a");
         let loadable = Loadable::model(&"a".into());
-        scene.beliefs.records.denied(&"x".into(), loadable, NOW_MS);
+        scene.local_view.records.denied(&"x".into(), loadable, NOW_MS);
         for elapsed_ms in [0, 300, 599] {
             let Selection::Send(endpoint) = scene.select(elapsed_ms) else { panic!("not sent") };
             assert_eq!(endpoint.name, "y".into());
         }
-        scene.beliefs.records.denied(&"y".into(), Loadable::model(&"a".into()), NOW_MS + 500);
+        scene.local_view.records.denied(&"y".into(), Loadable::model(&"a".into()), NOW_MS + 500);
         let Selection::Send(endpoint) = scene.select(700) else { panic!("not sent") };
         assert_eq!(endpoint.name, "x".into());
     }
@@ -154,7 +154,7 @@
         let with = with_adapters(endpoint("x", "z", &[]), "a", &["n"]);
         let mut scene = Scene::new(vec![with], "a");
         let loadable = Loadable::new(&"a".into(), Some(&"n".into()));
-        scene.beliefs.records.denied(&"x".into(), loadable, NOW_MS);
+        scene.local_view.records.denied(&"x".into(), loadable, NOW_MS);
         assert!(matches!(scene.select(0), Selection::Send(_)));
         scene.head.adapter = Some("n".into());
         assert!(!matches!(scene.select(0), Selection::Send(_)));
@@ -162,7 +162,7 @@
 
     without_a_leader_a_request_waits_for_an_engine_that_has_refused_it_a_moment_ago => {
         let mut scene = Scene::new(vec![endpoint("x", "z", &["a"])], "a");
-        scene.beliefs.note_leader(false, NOW_MS);
+        scene.local_view.record_leader(false, NOW_MS);
         scene.sends.sent(&"x".into());
         scene.sends.ended(SendEnd::NotRun, NOW_MS);
         assert!(matches!(scene.select(10), Selection::Wait { .. }));
@@ -172,7 +172,7 @@
     // Callers came back after a guess of 1.5 s, before the next leader gave its first order.
     without_a_leader_only_those_wait_who_stay_until_there_is_one => {
         let mut scene = Scene::new(vec![endpoint("x", "z", &["a"])], "b");
-        scene.beliefs.note_leader(false, NOW_MS);
+        scene.local_view.record_leader(false, NOW_MS);
         assert!(matches!(scene.select(0), Selection::Wait { .. }), "it stays for 10 s");
         scene.route.objective_ms = 300;
         let refused = scene.select(0);
@@ -188,20 +188,20 @@
         let mut scene = Scene::new(engines, "a");
         scene.sends.sent(&"x".into());
         let has_other = |scene: &mut Scene| {
-            let Scene { beliefs, route, service, head, sends, wish } = scene;
+            let Scene { local_view, route, service, head, sends, wish } = scene;
             let asking =
                 Asking { route, service, head, allowed_ms: ALLOWED_MS, elapsed_ms: 0, wish: *wish, is_trial: false, is_paid: true, place: None };
-            selection::has_other(beliefs, asking, sends, NOW_MS)
+            selection::has_other(local_view, asking, sends, NOW_MS)
         };
-        scene.beliefs.daemons = 1;
+        scene.local_view.daemons = 1;
         assert!(has_other(&mut scene));
-        while scene.beliefs.take_retry(&"s".into(), NOW_MS) {}
+        while scene.local_view.spend_retry(&"s".into(), NOW_MS) {}
         assert!(!has_other(&mut scene));
     }
 
     a_leader_that_never_was_is_not_waited_for => {
         let mut scene = Scene::new(vec![endpoint("x", "z", &["a"])], "b");
-        scene.beliefs.has_leader = false;
+        scene.local_view.has_leader = false;
         assert_eq!(reason(&scene.select(0)), Some(Reason::ReadyUnknown));
     }
 
@@ -210,14 +210,14 @@
         let mut scene = Scene::new(vec![endpoint("x", "z", &["a"])], "a");
         let model = ModelName::from("a");
         let x = endpoint("x", "z", &["a"]);
-        (0..3).for_each(|_| scene.beliefs.sent(&x, Some(&model), None));
-        scene.beliefs.asked_of(&"s".into()).digest(false, NOW_MS);
-        let note = EngineNote { running: 5, ..EngineNote::default() };
+        (0..3).for_each(|_| scene.local_view.request_started(&x, Some(&model), None));
+        scene.local_view.local_demand_for(&"s".into()).report(false, NOW_MS);
+        let note = EngineSummary { running: 5, ..EngineSummary::default() };
         let engines = BTreeMap::from([(EndpointName::from("x"), note)]);
         let view = ReplicaView { engines, ..ReplicaView::default() };
-        scene.beliefs.learn("s".into(), view, 1, NOW_MS);
-        assert_eq!(scene.beliefs.running(&x), 5);
-        (0..2).for_each(|_| scene.beliefs.sent(&x, Some(&model), None));
-        assert_eq!(scene.beliefs.running(&x), 7);
+        scene.local_view.update_replicas("s".into(), view, 1, NOW_MS);
+        assert_eq!(scene.local_view.running(&x), 5);
+        (0..2).for_each(|_| scene.local_view.request_started(&x, Some(&model), None));
+        assert_eq!(scene.local_view.running(&x), 7);
     }
 }
--- a/crates/trestle-dispatch/tests/service_state.rs
+++ b/crates/trestle-dispatch/tests/service_state.rs
@@ -46,7 +46,7 @@
     now_ms: u64,
 ) -> trestle_dispatch::replicas::ReplicaView {
     let mut directory = Directory::new(2_000);
-    directory.replaced(engines.to_vec(), 0);
+    directory.replace_all(engines.to_vec(), 0);
     state.view(&"s".into(), &directory, now_ms)
 }
 
@@ -94,7 +94,7 @@
         chain.answered(OrderAnswer::Accepted, 1_020);
         chain.answered(OrderAnswer::Fulfilled, 1_900);
         assert!(chain.is_done());
-        state.change_ended(&endpoint.life(), &chain, 1_900);
+        state.change_ended(&endpoint.incarnation(), &chain, 1_900);
         plan(&mut state, &engines, 0, 2_000);
         let note = &view(&state, &engines, 2_000).engines[&EndpointName::from("x")];
         assert!(note.holds.contains_key("c"));
@@ -104,7 +104,7 @@
     // says of the engine is not so any more.
     the_end_of_a_change_before_an_engine_started_again_says_nothing => {
         let mut before = with_disk(endpoint("x", "z", &["a", "b"]), &["c"]);
-        before.born_ms = 10;
+        before.started_unix_ms = 10;
         let mut state = ServiceState::default();
         tell(&mut state, 1, &["c"], 1_000);
         let (engine, _, mut chain) = plan(&mut state, &[before], 0, 1_000).remove(0);
@@ -112,10 +112,10 @@
         chain.answered(OrderAnswer::Accepted, 1_020);
         chain.answered(OrderAnswer::Fulfilled, 1_900);
         let mut after = endpoint("x", "z", &[]);
-        (after.entry_number, after.born_ms) = (1, 20);
+        (after.entry_number, after.started_unix_ms) = (1, 20);
         let after = [after];
         plan(&mut state, &after, 5_000, 1_950);
-        state.change_ended(&engine.life(), &chain, 2_000);
+        state.change_ended(&engine.incarnation(), &chain, 2_000);
         plan(&mut state, &after, 5_000, 2_050);
         let note = &view(&state, &after, 2_050).engines[&EndpointName::from("x")];
         assert!(note.holds.is_empty(), "{note:?}");
@@ -123,20 +123,20 @@
 
     an_engine_that_started_again_may_get_orders_at_once => {
         let mut before = with_disk(endpoint("x", "z", &["a", "b"]), &["c"]);
-        before.born_ms = 10;
+        before.started_unix_ms = 10;
         let mut state = ServiceState::default();
         tell(&mut state, 1, &["c"], 1_000);
         let (engine, _, mut chain) = plan(&mut state, &[before.clone()], 0, 1_000).remove(0);
         for at_ms in [1_010, 1_510, 2_010, 2_510, 3_010] {
             chain.reported(None, at_ms);
         }
-        state.change_ended(&engine.life(), &chain, 3_020);
+        state.change_ended(&engine.incarnation(), &chain, 3_020);
         let mut after = with_disk(endpoint("x", "z", &[]), &["c"]);
-        (after.entry_number, after.born_ms) = (1, 20);
+        (after.entry_number, after.started_unix_ms) = (1, 20);
         tell(&mut state, 2, &["c"], 3_030);
         let begun = plan(&mut state, &[after], 0, 3_030);
         assert_eq!(begun.len(), 1);
-        assert_eq!(begun[0].0.born_ms, 20);
+        assert_eq!(begun[0].0.started_unix_ms, 20);
     }
 
     a_daemon_hears_which_of_its_tellings_a_plan_has_looked_at => {
@@ -187,7 +187,7 @@
 
 fn report(endpoint: &Endpoint) -> trestle_dispatch::endpoint::EngineReport {
     trestle_dispatch::endpoint::EngineReport {
-        born_ms: endpoint.born_ms,
+        started_unix_ms: endpoint.started_unix_ms,
         held: endpoint.held.clone(),
         is_busy: false,
         order_count: 0,
--- a/crates/trestle-dispatch/tests/text_delta.rs
+++ b/crates/trestle-dispatch/tests/text_delta.rs
@@ -5,7 +5,7 @@
 
 use large_configuration::configuration;
 use trestle_dispatch::{
-    packed::Packed,
+    compressed_text::CompressedText,
     text_delta::{TextPiece, apply_delta, text_delta},
 };
 
@@ -82,9 +82,9 @@
 
     a_packed_text_comes_out_as_it_went_in_and_another_does_not => {
         let text = routes(7, &[4_000; 1_400]);
-        let packed = Packed::of(&text);
+        let packed = CompressedText::compress(&text);
         assert!(packed.as_bytes().len() * 4 < text.len(), "{}", packed.as_bytes().len());
-        assert_eq!(packed.text(), Some(text));
-        assert_eq!(Packed::from_bytes(vec![255; 40]).text(), None);
+        assert_eq!(packed.decompress(), Some(text));
+        assert_eq!(CompressedText::from_bytes(vec![255; 40]).decompress(), None);
     }
 }
--- a/crates/trestle-dispatch/tests/traffic.rs
+++ b/crates/trestle-dispatch/tests/traffic.rs
@@ -7,9 +7,9 @@
 use trestle_core::names::{AdapterName, EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
     admission::{self, Admission, Outlook, Reason, Wait},
-    beliefs::Beliefs,
     choice::{Known, Need, choose},
-    replicas::{EngineNote, ReplicaView},
+    local_view::LocalView,
+    replicas::{EngineSummary, ReplicaView},
     retry_share::{RetryBounds, RetryShare},
     route::{Route, RouteKind, RouteTable, Target},
 };
@@ -17,7 +17,7 @@
 const STREAM: RouteKind = RouteKind::Stream { is_resumable: true };
 
 struct Scene {
-    beliefs: Beliefs,
+    local_view: LocalView,
     excluded: BTreeSet<EndpointName>,
     only: Option<BTreeSet<EndpointName>>,
 }
@@ -25,25 +25,26 @@
 impl Scene {
     fn new(endpoints: Vec<trestle_dispatch::endpoint::Endpoint>) -> Self {
         let retry_bounds = RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 52 };
-        let mut beliefs = Beliefs::new("z1".into(), 2_000, retry_bounds);
-        beliefs.directory.replaced(endpoints, 0);
-        beliefs.replicas.insert("s".into(), ReplicaView::default());
-        Self { beliefs, excluded: BTreeSet::new(), only: None }
+        let mut local_view = LocalView::new("z1".into(), 2_000, retry_bounds);
+        local_view.directory.replace_all(endpoints, 0);
+        local_view.replicas.insert("s".into(), ReplicaView::default());
+        Self { local_view, excluded: BTreeSet::new(), only: None }
     }
 
     fn replicas(&self) -> &ReplicaView {
-        &self.beliefs.replicas[&ServiceName::from("s")]
+        &self.local_view.replicas[&ServiceName::from("s")]
     }
 
-    fn note(&mut self, engine: &str, note: EngineNote) {
-        let view = self.beliefs.replicas.get_mut("s").expect("a view");
+    fn note(&mut self, engine: &str, note: EngineSummary) {
+        let view = self.local_view.replicas.get_mut("s").expect("a view");
         view.engines.insert(engine.into(), note);
     }
 
     fn choose(&self, model: Option<&str>, adapter: Option<&str>, lot: u64) -> Option<String> {
         let (model, adapter) = (model.map(ModelName::from), adapter.map(AdapterName::from));
         let service = ServiceName::from("s");
-        let known = Known { beliefs: &self.beliefs, replicas: self.replicas(), now_ms: 1_000 };
+        let known =
+            Known { local_view: &self.local_view, replicas: self.replicas(), now_ms: 1_000 };
         let need = Need {
             service: &service,
             model: model.as_ref(),
@@ -109,7 +110,7 @@
     a_model_that_is_going_is_not_used_and_one_that_arrived_is => {
         let mut scene = Scene::new(vec![endpoint("x", "z1", &["a"])]);
         let holds = endpoint("x", "z1", &["b"]).held;
-        scene.note("x", EngineNote { holds, running: 0 });
+        scene.note("x", EngineSummary { holds, running: 0 });
         assert_eq!(scene.choose(Some("a"), None, 1), None);
         assert_eq!(scene.choose(Some("b"), None, 1).as_deref(), Some("x"));
     }
@@ -126,13 +127,13 @@
     load_is_evened_out_before_domains_are_kept_to => {
         let mut scene = Scene::new(vec![endpoint("far", "z2", &[]), endpoint("near", "z1", &[])]);
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("near"));
-        scene.beliefs.records.sent(&"near".into());
+        scene.local_view.records.sent(&"near".into());
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("far"));
     }
 
     what_has_failed_this_request_or_lately_comes_last => {
         let mut scene = Scene::new(vec![endpoint("x", "z1", &[]), endpoint("y", "z2", &[])]);
-        (0..5).for_each(|_| scene.beliefs.records.failed(&"x".into(), 900));
+        (0..5).for_each(|_| scene.local_view.records.failed(&"x".into(), 900));
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("y"));
         scene.excluded.insert("y".into());
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("x"));
@@ -143,7 +144,7 @@
     // A request was sent 1.2 s after its engine's address had refused connections six times.
     an_endpoint_that_cannot_be_reached_is_avoided_at_once => {
         let mut scene = Scene::new(vec![endpoint("x", "z1", &[]), endpoint("y", "z2", &[])]);
-        scene.beliefs.records.unreachable(&"x".into(), 900);
+        scene.local_view.records.unreachable(&"x".into(), 900);
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("y"));
     }
 
@@ -153,15 +154,15 @@
         let mut scene = Scene::new(vec![endpoint("x", "z1", &[]), endpoint("y", "z1", &[])]);
         for number in 0..40 {
             match number % 5 {
-                0 | 3 => scene.beliefs.records.failed(&"x".into(), 900),
-                _ => scene.beliefs.records.succeeded(&"x".into(), 900),
+                0 | 3 => scene.local_view.records.failed(&"x".into(), 900),
+                _ => scene.local_view.records.succeeded(&"x".into(), 900),
             }
-            scene.beliefs.records.succeeded(&"y".into(), 900);
+            scene.local_view.records.succeeded(&"y".into(), 900);
         }
         for lot in 0..20 {
             assert_eq!(scene.choose(None, None, lot).as_deref(), Some("y"));
         }
-        (0..3).for_each(|_| scene.beliefs.records.sent(&"y".into()));
+        (0..3).for_each(|_| scene.local_view.records.sent(&"y".into()));
         assert_eq!(scene.choose(None, None, 1).as_deref(), Some("x"));
     }
 
@@ -171,7 +172,7 @@
         let mut scene = Scene::new(names.iter().map(|name| endpoint(name, "z1", &["a"])).collect());
         for (running, name) in names.iter().enumerate() {
             let holds = endpoint(name, "z1", &["a"]).held;
-            scene.note(name, EngineNote { holds, running: running as u32 });
+            scene.note(name, EngineSummary { holds, running: running as u32 });
         }
         let mut chosen: BTreeMap<String, u32> = BTreeMap::new();
         for lot in 0..2_000 {
--- a/crates/trestle-dispatch/tests/trials.rs
+++ b/crates/trestle-dispatch/tests/trials.rs
@@ -2,7 +2,7 @@
 
 use trestle_core::names::VmName;
 use trestle_dispatch::{
-    crashes::Crashes, endpoint::Life, fingerprint::Fingerprint, trials::Trials,
+    crashes::Crashes, endpoint::Incarnation, fingerprint::Fingerprint, trials::Trials,
 };
 
 macro_rules! cases {
@@ -16,8 +16,8 @@
     format!("vm-{number}").into()
 }
 
-fn life(number: u64) -> Life {
-    Life { name: format!("engine-{number}").into(), born_ms: number }
+fn incarnation(number: u64) -> Incarnation {
+    Incarnation { name: format!("engine-{number}").into(), started_unix_ms: number }
 }
 
 cases! {
@@ -58,43 +58,43 @@
 
     what_ended_two_endpoints_is_tried_and_what_ended_one_is_not => {
         let mut crashes = Crashes::default();
-        crashes.ended(REQUEST, &life(0), 0);
-        assert!(!crashes.must_be_tried(REQUEST));
-        crashes.ended(REQUEST, &life(1), 100);
-        assert!(crashes.must_be_tried(REQUEST));
+        crashes.record_crash(REQUEST, &incarnation(0), 0);
+        assert!(!crashes.must_run_serially(REQUEST));
+        crashes.record_crash(REQUEST, &incarnation(1), 100);
+        assert!(crashes.must_run_serially(REQUEST));
     }
 
     what_had_an_answer_is_not_tried => {
         let mut crashes = Crashes::default();
-        crashes.ended(REQUEST, &life(0), 0);
-        crashes.ended(REQUEST, &life(1), 100);
+        crashes.record_crash(REQUEST, &incarnation(0), 0);
+        crashes.record_crash(REQUEST, &incarnation(1), 100);
         crashes.served(REQUEST);
-        assert!(!crashes.must_be_tried(REQUEST));
+        assert!(!crashes.must_run_serially(REQUEST));
     }
 
     // Attempts of three to five daemons that had seen neither end reached the third engine at once.
     a_daemon_that_saw_neither_end_hears_of_both_from_its_leader => {
         let (mut leader, mut other) = (Crashes::default(), Crashes::default());
-        leader.ended(REQUEST, &life(0), 0);
-        let (_, before) = leader.refused(50);
-        leader.ended(REQUEST, &life(1), 100);
-        let (told, number) = leader.refused(200);
+        leader.record_crash(REQUEST, &incarnation(0), 0);
+        let (_, before) = leader.restricted_reports(50);
+        leader.record_crash(REQUEST, &incarnation(1), 100);
+        let (told, number) = leader.restricted_reports(200);
         assert!(number > before, "it is news for askers");
-        other.heard(&told, 200);
-        assert!(other.must_be_tried(REQUEST));
+        other.apply_reports(&told, 200);
+        assert!(other.must_run_serially(REQUEST));
         assert_eq!(other.refused_for_ms(REQUEST, 200), None);
     }
 
     an_answer_takes_back_what_askers_were_told => {
         let (mut leader, mut other) = (Crashes::default(), Crashes::default());
-        leader.ended(REQUEST, &life(0), 0);
-        leader.ended(REQUEST, &life(1), 100);
-        let (told, before) = leader.refused(200);
-        other.heard(&told, 200);
+        leader.record_crash(REQUEST, &incarnation(0), 0);
+        leader.record_crash(REQUEST, &incarnation(1), 100);
+        let (told, before) = leader.restricted_reports(200);
+        other.apply_reports(&told, 200);
         leader.served(REQUEST);
-        let (told, number) = leader.refused(300);
+        let (told, number) = leader.restricted_reports(300);
         assert!(number > before);
-        other.heard(&told, 300);
-        assert!(!other.must_be_tried(REQUEST));
+        other.apply_reports(&told, 300);
+        assert!(!other.must_run_serially(REQUEST));
     }
 }
--- a/crates/trestle-entry/src/broken.rs
+++ b/crates/trestle-entry/src/broken.rs
@@ -17,9 +17,9 @@
 use smol::Timer;
 use std::{collections::BTreeSet, io::ErrorKind, sync::Arc, time::Duration};
 use trestle_dispatch::{
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, Incarnation},
     fingerprint::Fingerprint,
-    suspects::{Break, ENDS_WITHIN_MS, Evidence},
+    unresolved_requests::{ConnectionLoss, Evidence, MAX_CRASH_DELAY_MS},
 };
 
 /// Requests that one line of log names.
@@ -45,13 +45,13 @@
     let Some(request) = request else { return };
     let now_ms = daemon.knowledge.now_ms();
     let broke =
-        daemon.knowledge.with(|beliefs| beliefs.connection_broke(endpoint, request, now_ms));
+        daemon.knowledge.with(|local_view| local_view.connection_lost(endpoint, request, now_ms));
     match broke {
-        Some(Break::First) => {
+        Some(ConnectionLoss::CheckNeeded) => {
             smol::spawn(find_out(Arc::clone(daemon), endpoint.clone())).detach();
         }
-        Some(Break::Ended) => note_late(daemon, &endpoint.life(), request),
-        Some(Break::Further) | None => {}
+        Some(ConnectionLoss::Terminated) => note_late(daemon, &endpoint.incarnation(), request),
+        Some(ConnectionLoss::CheckRunning) | None => {}
     }
 }
 
@@ -59,55 +59,62 @@
 pub(crate) fn note_left(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
     let now_ms = daemon.knowledge.now_ms();
     let has_ended =
-        daemon.knowledge.with(|beliefs| beliefs.left_unanswered(endpoint, request, now_ms));
+        daemon.knowledge.with(|local_view| local_view.request_abandoned(endpoint, request, now_ms));
     if has_ended {
-        note_late(daemon, &endpoint.life(), request);
+        note_late(daemon, &endpoint.incarnation(), request);
     }
 }
 
 /// Takes what the list says of endpoints that are no longer there.
 pub(crate) fn note_gone(daemon: &Daemon) {
-    let gone = daemon.knowledge.with(|beliefs| beliefs.ended_by_list());
-    for (life, evidence) in &gone {
-        ended(daemon, life, *evidence);
+    let gone = daemon.knowledge.with(|local_view| local_view.terminated_by_list());
+    for (incarnation, evidence) in &gone {
+        ended(daemon, incarnation, *evidence);
     }
 }
 
 /// Takes that an endpoint has come to an address where others may have been.
 pub(crate) fn note_came(daemon: &Daemon, endpoint: &Endpoint) {
-    let replaced = daemon.knowledge.with(|beliefs| beliefs.replaced_by(endpoint));
-    for life in &replaced {
-        ended(daemon, life, Evidence::Replaced);
+    let replaced = daemon.knowledge.with(|local_view| local_view.replaced_by(endpoint));
+    for incarnation in &replaced {
+        ended(daemon, incarnation, Evidence::Replaced);
     }
 }
 
 /// Takes that a life of an endpoint has ended; blames the requests that were open there.
-pub(crate) fn ended(daemon: &Daemon, life: &Life, evidence: Evidence) {
+pub(crate) fn ended(daemon: &Daemon, incarnation: &Incarnation, evidence: Evidence) {
     let now_ms = daemon.knowledge.now_ms();
-    let requests = daemon.knowledge.with(|beliefs| beliefs.has_ended(life, evidence, now_ms));
-    note_ended(daemon, life, evidence.name(), &requests);
+    let requests = daemon
+        .knowledge
+        .with(|local_view| local_view.incarnation_terminated(incarnation, evidence, now_ms));
+    note_ended(daemon, incarnation, evidence.name(), &requests);
 }
 
 /// Finds out whether an endpoint has ended, until it is known or nothing depends on it.
 async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint) {
-    let life = endpoint.life();
-    let mut pause_ms = ENDS_WITHIN_MS;
+    let incarnation = endpoint.incarnation();
+    let mut pause_ms = MAX_CRASH_DELAY_MS;
     let mut seen = listens(&endpoint).await;
     loop {
         if let Seen::Ended(evidence) = seen {
-            ended(&daemon, &life, evidence);
+            ended(&daemon, &incarnation, evidence);
         }
         Timer::after(Duration::from_millis(pause_ms)).await;
         let now_ms = daemon.knowledge.now_ms();
-        if !daemon.knowledge.with(|beliefs| beliefs.suspects.keeps_looking(&life, now_ms)) {
+        if !daemon
+            .knowledge
+            .with(|local_view| local_view.unresolved_requests.needs_check(&incarnation, now_ms))
+        {
             return;
         }
         seen = look(&daemon, &endpoint).await;
         match seen {
             Seen::Lives => {
-                daemon.knowledge.with(|beliefs| beliefs.suspects.lived(&life, now_ms));
-                tracing::info!(endpoint = %life.name, born_ms = life.born_ms, "endpoint: It lives; nothing ended it.");
-                pause_ms = ENDS_WITHIN_MS;
+                daemon.knowledge.with(|local_view| {
+                    local_view.unresolved_requests.confirmed_alive(&incarnation, now_ms)
+                });
+                tracing::info!(endpoint = %incarnation.name, born_ms = incarnation.started_unix_ms, "endpoint: It lives; nothing ended it.");
+                pause_ms = MAX_CRASH_DELAY_MS;
             }
             Seen::Nothing => pause_ms = (2 * pause_ms).min(MOST_PAUSE_MS),
             Seen::Ended(_) => {}
@@ -135,14 +142,14 @@
     let wire = &daemon.wire.endpoint;
     let client = CallClient::new(endpoint.address);
     // Starts under one name are told apart by engines' reports alone.
-    if endpoint.tells_start() {
+    if endpoint.has_start_time() {
         if service.engine.is_none() {
             return listens(endpoint).await;
         }
         return seen_by(client.exchange((wire.report_call)(), ANSWER_MS).await, |answer| {
             let report = (wire.report_answer)(answer.status, &answer.body).ok()?;
-            let is_known = report.born_ms != 0;
-            is_known.then_some((report.is_of(endpoint), Evidence::StartedAgain))
+            let is_known = report.started_unix_ms != 0;
+            is_known.then_some((report.is_from(endpoint), Evidence::StartedAgain))
         });
     }
     let Some(path) = &service.health_path else { return listens(endpoint).await };
@@ -176,19 +183,24 @@
 }
 
 /// Notes a request that was still open at an endpoint when that was found to have ended.
-fn note_late(daemon: &Daemon, life: &Life, request: Fingerprint) {
-    note_ended(daemon, life, "known_before", &BTreeSet::from([request]));
+fn note_late(daemon: &Daemon, incarnation: &Incarnation, request: Fingerprint) {
+    note_ended(daemon, incarnation, "known_before", &BTreeSet::from([request]));
 }
 
-fn note_ended(daemon: &Daemon, life: &Life, known_by: &str, requests: &BTreeSet<Fingerprint>) {
+fn note_ended(
+    daemon: &Daemon,
+    incarnation: &Incarnation,
+    known_by: &str,
+    requests: &BTreeSet<Fingerprint>,
+) {
     let count = requests.len();
     if count == 0 {
         return;
     }
     let named: Vec<String> = requests.iter().take(MOST_LOGGED).map(ToString::to_string).collect();
-    let (endpoint, born_ms) = (&life.name, life.born_ms);
+    let (endpoint, born_ms) = (&incarnation.name, incarnation.started_unix_ms);
     tracing::warn!(
         %endpoint, born_ms, known_by, count, requests = ?named, "endpoint: It ended under requests."
     );
-    crashes::ended(daemon, life, requests);
+    crashes::ended(daemon, incarnation, requests);
 }
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -78,7 +78,7 @@
             Next::Failed(failure) => break Some(format!("{failure:?}")),
             Next::Report => {
                 let report = ask(&daemon, &client, &endpoint).await;
-                if report.as_ref().is_some_and(|report| !report.is_of(&endpoint)) {
+                if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
                     break Some(STARTED_AGAIN.to_owned());
                 }
                 chain.reported(report.as_ref(), daemon.knowledge.now_ms());
@@ -103,7 +103,7 @@
         }
     }
     daemon.metrics.change(failure.is_none(), change.is_remote, took_ms);
-    daemon.tell(Message::ChangeEnded { service, engine: endpoint.life(), chain });
+    daemon.tell(Message::ChangeEnded { service, engine: endpoint.incarnation(), chain });
 }
 
 async fn ask(daemon: &Daemon, client: &CallClient, endpoint: &Endpoint) -> Option<EngineReport> {
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -15,11 +15,11 @@
 };
 use trestle_core::names::DomainName;
 use trestle_dispatch::{
-    beliefs::Beliefs,
     candidate::Candidate,
-    deciders::Deciders,
+    decision_leaders::DecisionLeaders,
     groups::{self, Groups},
     lease::{LeaseRow, LeaseWrite, Resignation},
+    local_view::LocalView,
     store::WriteOutcome,
 };
 use trestle_wire::replicas::{WireGroupLease, WireResigned};
@@ -40,7 +40,7 @@
     /// The group whose leader this daemon asks, and since when.
     home: Option<(DomainName, u64)>,
     by_group: BTreeMap<DomainName, Leasing>,
-    deciders: Deciders,
+    decision_leaders: DecisionLeaders,
     quiet_ms: u64,
     next_read_ms: u64,
     is_reading: bool,
@@ -65,7 +65,7 @@
             groups: Groups::among(configured),
             home: None,
             by_group: BTreeMap::new(),
-            deciders: Deciders::default(),
+            decision_leaders: DecisionLeaders::default(),
             quiet_ms: daemon.settings.bounds.order_quiet_ms,
             next_read_ms: 0,
             is_reading: false,
@@ -133,7 +133,7 @@
     /// Notes that it was tried to read leases' rows.
     fn note_read(&self) {
         let is_first =
-            |beliefs: &mut Beliefs| !std::mem::replace(&mut beliefs.are_leases_read, true);
+            |local_view: &mut LocalView| !std::mem::replace(&mut local_view.are_leases_read, true);
         if self.daemon.knowledge.with(is_first) {
             self.daemon.knowledge.say_changed();
         }
@@ -219,9 +219,9 @@
         }
         let held = self.daemon.order_permits.held(now_ms);
         let groups = self.groups.most();
-        self.daemon.with_lender(|lender| {
-            lender.set_sharing(groups);
-            lender.set_leases(&held, now_ms);
+        self.daemon.with_lender(|quota_allocator| {
+            quota_allocator.set_group_count(groups);
+            quota_allocator.set_leases(&held, now_ms);
         });
         self.note_acting(now_ms);
         self.note_deciders(now_ms);
@@ -232,10 +232,9 @@
     }
 
     fn follow_groups(&mut self, now_ms: u64) {
-        let (domains, engines) = self
-            .daemon
-            .knowledge
-            .with(|beliefs| (beliefs.directory.domains(), beliefs.directory.iter().count()));
+        let (domains, engines) = self.daemon.knowledge.with(|local_view| {
+            (local_view.directory.domains(), local_view.directory.iter().count())
+        });
         self.groups.update(domains, engines, now_ms);
         let home = self.groups.home(&self.domain).clone();
         if self.home.as_ref().is_none_or(|(known, _)| *known != home) {
@@ -357,9 +356,9 @@
     /// another one may have before. Leaders know of the same groups, so they agree on it.
     pub(crate) fn decider(&mut self, name: &str, now_ms: u64) -> (Leader, Option<u64>) {
         self.note_deciders(now_ms);
-        let group = self.deciders.group_for(name);
+        let group = self.decision_leaders.group_for(name);
         let leader = group.map_or(Leader::Nobody, |group| self.leader_of(group, now_ms));
-        (leader, self.deciders.decides_since_ms(name))
+        (leader, self.decision_leaders.decides_since_ms(name))
     }
 
     fn note_deciders(&mut self, now_ms: u64) {
@@ -370,7 +369,7 @@
                 Leader::At { address, token, .. } => Some((address, token)),
                 Leader::Nobody => None,
             };
-            self.deciders.note(group, leader, now_ms);
+            self.decision_leaders.record_leader(group, leader, now_ms);
         }
     }
 
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 use trestle_core::names::{DomainName, EndpointName, ServiceName};
 use trestle_dispatch::{
-    endpoint::Life,
+    endpoint::Incarnation,
     lease::{LeaseRow, LeaseWrite, Resignation},
     orders::OrderChain,
     store::WriteOutcome,
@@ -97,7 +97,7 @@
         /// The engine's service.
         service: ServiceName,
         /// The start of the engine to which its orders went.
-        engine: Life,
+        engine: Incarnation,
         /// Its orders, as far as they came.
         chain: OrderChain,
     },
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -30,7 +30,7 @@
 use trestle_core::names::ServiceName;
 use trestle_dispatch::{
     catalog::{Catalog, EngineSpec},
-    endpoint::Life,
+    endpoint::Incarnation,
     member_count::MemberCount,
     orders::OrderChain,
     service_state::ServiceState,
@@ -172,7 +172,7 @@
         self.answer_pending(now_ms);
     }
 
-    fn change_ended(&mut self, service: &ServiceName, engine: &Life, chain: &OrderChain) {
+    fn change_ended(&mut self, service: &ServiceName, engine: &Incarnation, chain: &OrderChain) {
         let now_ms = self.now_ms();
         if let Some(known) = self.services.get_mut(service) {
             known.change_ended(engine, chain, now_ms);
--- a/crates/trestle-entry/src/control/others.rs
+++ b/crates/trestle-entry/src/control/others.rs
@@ -11,7 +11,7 @@
     endpoint::Endpoint,
     loadable::Loadable,
     placement_log::PlacementMirror,
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
     service_state::ServiceState,
 };
 use trestle_wire::replicas::{WireDigest, WireSynced};
@@ -115,7 +115,7 @@
         &'a self,
         service: &'a ServiceName,
         now_ms: u64,
-    ) -> BTreeMap<&'a EndpointName, &'a EngineNote> {
+    ) -> BTreeMap<&'a EndpointName, &'a EngineSummary> {
         let believed =
             self.by_address.values().filter(move |other| other.was_heard(BELIEVED_MS, now_ms));
         let views = believed.filter_map(|other| other.services.get(service));
--- a/crates/trestle-entry/src/control/permit.rs
+++ b/crates/trestle-entry/src/control/permit.rs
@@ -8,7 +8,7 @@
     sync::{Mutex, PoisonError},
 };
 use trestle_core::names::DomainName;
-use trestle_dispatch::lender::HeldLease;
+use trestle_dispatch::quota_allocator::HeldLease;
 
 /// Said of when orders may leave while a lease is not certain; a renewal takes about as long.
 const UNKNOWN_MS: u64 = 1_000;
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -59,7 +59,7 @@
         let Some(catalog) = self.daemon.knowledge.catalog() else { return };
         let led = self.leases.led(now_ms);
         let orders_in_ms = self.orders_in_ms(&led, now_ms);
-        let policy = self.daemon.knowledge.with(|beliefs| beliefs.policy.clone());
+        let policy = self.daemon.knowledge.with(|local_view| local_view.policy.clone());
         let limited = self.daemon.with_endpoint_limits(|limits| limits.limited(now_ms));
         let mut groups = BTreeSet::new();
         for (service, known) in &mut self.services {
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/telling.rs
@@ -7,7 +7,7 @@
     directory::Directory,
     loadable::{self, Loadable},
     placement_log::{PlacementLog, PlacementPosition},
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
     service_state::ServiceState,
 };
 use trestle_wire::replicas::{WireView, to_ready};
@@ -170,7 +170,7 @@
             Some(note) => note.clone(),
             None => {
                 let usage = usage.get_or_insert_with(|| known.state.demand.usage(known.now_ms));
-                EngineNote { holds: endpoint.held.clone(), running: usage.at(name) }
+                EngineSummary { holds: endpoint.held.clone(), running: usage.at(name) }
             }
         };
         (name.clone(), note)
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -7,8 +7,8 @@
 use crate::daemon::Daemon;
 use std::collections::BTreeSet;
 use trestle_dispatch::{
-    crashes::{CrashReport, Crashes, MOST_ENDS},
-    endpoint::Life,
+    crashes::{CrashReport, Crashes, MAX_CRASHES},
+    endpoint::Incarnation,
     fingerprint::Fingerprint,
 };
 use trestle_wire::{
@@ -35,7 +35,7 @@
     pub(crate) fn ask(&mut self, daemon: &Daemon, asking: &mut WireAsking) {
         let now_ms = daemon.knowledge.now_ms();
         let (news, number) =
-            daemon.knowledge.with(|beliefs| beliefs.crashes.news(self.told, now_ms));
+            daemon.knowledge.with(|local_view| local_view.crashes.changes_since(self.told, now_ms));
         asking.crashes = news.into_iter().map(WireCrash::from).collect();
         asking.have.refused = self.heard;
         self.telling = number;
@@ -52,13 +52,16 @@
 }
 
 /// Notes that an endpoint ended under requests, and has it told.
-pub(crate) fn ended(daemon: &Daemon, life: &Life, requests: &BTreeSet<Fingerprint>) {
+pub(crate) fn ended(daemon: &Daemon, incarnation: &Incarnation, requests: &BTreeSet<Fingerprint>) {
     if requests.is_empty() {
         return;
     }
     let now_ms = daemon.knowledge.now_ms();
     for request in requests {
-        if daemon.knowledge.with(|beliefs| beliefs.crashes.ended(*request, life, now_ms)) {
+        if daemon
+            .knowledge
+            .with(|local_view| local_view.crashes.record_crash(*request, incarnation, now_ms))
+        {
             log_refused(*request);
         }
     }
@@ -71,14 +74,14 @@
         return;
     }
     let now_ms = daemon.knowledge.now_ms();
-    let (refused, taken_back) = daemon.knowledge.with(|beliefs| {
+    let (refused, taken_back) = daemon.knowledge.with(|local_view| {
         let is_refused = |report: &&CrashReport, crashes: &Crashes| {
             crashes.refused_for_ms(report.request, now_ms).is_some()
         };
-        let before = reports.iter().filter(|report| is_refused(report, &beliefs.crashes));
+        let before = reports.iter().filter(|report| is_refused(report, &local_view.crashes));
         let before: Vec<&CrashReport> = before.collect();
-        let refused = beliefs.crashes.heard(reports, now_ms);
-        let after = before.into_iter().filter(|report| !is_refused(report, &beliefs.crashes));
+        let refused = local_view.crashes.apply_reports(reports, now_ms);
+        let after = before.into_iter().filter(|report| !is_refused(report, &local_view.crashes));
         (refused, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
     });
     for request in taken_back {
@@ -100,10 +103,10 @@
 /// Requests that are refused, for an asker that has heard of changes up to a number.
 pub(crate) fn refused_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
     let now_ms = daemon.knowledge.now_ms();
-    let (refused, number) = daemon.knowledge.with(|beliefs| {
+    let (refused, number) = daemon.knowledge.with(|local_view| {
         // Nearly all askers lack nothing; each asks several times a second.
-        let has_news = beliefs.crashes.refused_changes() > number;
-        has_news.then(|| beliefs.crashes.refused(now_ms))
+        let has_news = local_view.crashes.last_restricted_change() > number;
+        has_news.then(|| local_view.crashes.restricted_reports(now_ms))
     })?;
     Some(WireRefused { crashes: refused.into_iter().map(WireCrash::from).collect(), number })
 }
@@ -111,12 +114,13 @@
 /// Requests that are refused, as many as a lease's row holds.
 pub(crate) fn refused_for_row(daemon: &Daemon) -> Vec<CrashReport> {
     let now_ms = daemon.knowledge.now_ms();
-    let (mut refused, _) = daemon.knowledge.with(|beliefs| beliefs.crashes.refused(now_ms));
-    refused.retain(|report| report.ends.len() >= MOST_ENDS);
+    let (mut refused, _) =
+        daemon.knowledge.with(|local_view| local_view.crashes.restricted_reports(now_ms));
+    refused.retain(|report| report.crashes.len() >= MAX_CRASHES);
     refused.truncate(MOST_IN_ROW);
     refused
 }
 
 fn log_refused(request: Fingerprint) {
-    tracing::warn!(%request, ends = MOST_ENDS, "request: It ends endpoints; it is refused from now on.");
+    tracing::warn!(%request, ends = MAX_CRASHES, "request: It ends endpoints; it is refused from now on.");
 }
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -23,8 +23,8 @@
 use trestle_config::entry_settings::{Bounds, EntrySettings};
 use trestle_core::names::{EndpointName, ServiceName};
 use trestle_dispatch::{
-    allowance::Allowances, endpoint::Endpoint, endpoint_limits::EndpointLimits, lender::Lender,
-    order_log::OrderLog, policy::Policy, trials::Trials,
+    allowance::Allowances, endpoint::Endpoint, endpoint_limits::EndpointLimits,
+    order_log::OrderLog, policy::Policy, quota_allocator::QuotaAllocator, trials::Trials,
 };
 
 /// What the parts of the daemon share.
@@ -40,7 +40,7 @@
     pub(crate) order_permits: OrderPermits,
     order_log: Mutex<OrderLog>,
     trials: Mutex<Trials>,
-    lender: Mutex<Lender>,
+    quota_allocator: Mutex<QuotaAllocator>,
     endpoint_limits: Mutex<EndpointLimits>,
     allowances: Mutex<Allowances>,
     pub(crate) calls: LeaderCalls,
@@ -69,7 +69,7 @@
             order_permits: OrderPermits::default(),
             order_log: Mutex::default(),
             trials: Mutex::default(),
-            lender: Mutex::default(),
+            quota_allocator: Mutex::default(),
             endpoint_limits: Mutex::default(),
             allowances: Mutex::default(),
             calls: LeaderCalls::default(),
@@ -85,7 +85,9 @@
     /// Whether the balancer should send callers here.
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
-            && self.knowledge.with(|beliefs| beliefs.catalog.is_some() && beliefs.is_listed)
+            && self
+                .knowledge
+                .with(|local_view| local_view.catalog.is_some() && local_view.is_list_read)
     }
 
     /// Puts changed bounds in force.
@@ -113,8 +115,8 @@
     }
 
     /// Looks at, or changes, what this daemon has to lend while it leads.
-    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut Lender) -> R) -> R {
-        look(&mut self.lender.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
+        look(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Looks at, or changes, what this daemon decides on limits of endpoints while it leads.
@@ -129,27 +131,28 @@
 
     /// The endpoints of a service that may get new work.
     pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
-        self.knowledge.with(|beliefs| {
-            let usable = beliefs.directory.usable_shared(service).cloned();
+        self.knowledge.with(|local_view| {
+            let usable = local_view.directory.usable_shared(service).cloned();
             usable.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
         })
     }
 
     /// Whether an endpoint is still listed as this start of it.
     pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|beliefs| beliefs.directory.lists(&endpoint.life()))
+        self.knowledge.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
     }
 
     /// The same, and it is not leaving.
     pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|beliefs| beliefs.directory.is_usable(&endpoint.life()))
+        self.knowledge.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
     }
 
     /// Until when an endpoint wants nothing of this daemon; 0 if it has not said so.
     pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
-        let life = endpoint.life();
-        self.knowledge
-            .with(|beliefs| beliefs.backpressure.rest(&life).map_or(0, |rest| rest.until_ms))
+        let incarnation = endpoint.incarnation();
+        self.knowledge.with(|local_view| {
+            local_view.backpressure.backoff(&incarnation).map_or(0, |rest| rest.until_ms)
+        })
     }
 
     /// A number that nothing else in this process has.
--- a/crates/trestle-entry/src/departures.rs
+++ b/crates/trestle-entry/src/departures.rs
@@ -20,7 +20,7 @@
     let read = async {
         loop {
             let changed = daemon.knowledge.changed();
-            if daemon.knowledge.with(|beliefs| beliefs.are_leases_read) {
+            if daemon.knowledge.with(|local_view| local_view.are_leases_read) {
                 return;
             }
             changed.await;
@@ -37,7 +37,7 @@
     if departures.is_empty() {
         return;
     }
-    let dropped = daemon.knowledge.with(|beliefs| beliefs.hear_departures(departures));
+    let dropped = daemon.knowledge.with(|local_view| local_view.apply_departures(departures));
     for name in &dropped {
         tracing::info!(
             endpoint = %name, "endpoint: It is gone, as another daemon knows; its entry is not its own."
@@ -56,11 +56,11 @@
 
 /// Departures, as many as a lease's row holds.
 pub(crate) fn for_row(daemon: &Daemon) -> Vec<Departure> {
-    daemon.knowledge.with(|beliefs| beliefs.directory.departures(MOST_IN_ROW))
+    daemon.knowledge.with(|local_view| local_view.directory.departures(MOST_IN_ROW))
 }
 
 /// Departures for a daemon that asks for the first time.
 pub(crate) fn for_new_asker(daemon: &Daemon) -> Vec<WireDeparture> {
-    let departures = daemon.knowledge.with(|beliefs| beliefs.directory.departures(MOST_TOLD));
+    let departures = daemon.knowledge.with(|local_view| local_view.directory.departures(MOST_TOLD));
     departures.into_iter().map(WireDeparture::from).collect()
 }
--- a/crates/trestle-entry/src/knowledge.rs
+++ b/crates/trestle-entry/src/knowledge.rs
@@ -12,7 +12,7 @@
 };
 use trestle_config::entry_settings::{Bounds, EntrySettings};
 use trestle_dispatch::{
-    beliefs::Beliefs, catalog::Catalog, crashes::Crashes, policy::Policy, quota::QuotaBounds,
+    catalog::Catalog, crashes::Crashes, local_view::LocalView, policy::Policy, quota::QuotaBounds,
     retry_share::RetryBounds,
 };
 
@@ -23,7 +23,7 @@
 /// What this daemon believes.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
-    beliefs: Mutex<Beliefs>,
+    local_view: Mutex<LocalView>,
     changed: Event,
     wished: Event,
     forwarded: Event,
@@ -37,12 +37,12 @@
     pub(crate) fn new(settings: &EntrySettings, policy: Policy, clock: Clock) -> Self {
         let bounds = &settings.bounds;
         let domain = settings.domain.as_str().into();
-        let mut beliefs = Beliefs::new(domain, bounds.leaving_ms, retry_bounds(bounds));
-        beliefs.policy = policy;
-        beliefs.quota_bounds = quota_bounds(bounds);
-        beliefs.crashes = Crashes::late_by(fastrand::u64(..MOST_LATE_MS));
+        let mut local_view = LocalView::new(domain, bounds.leaving_ms, retry_bounds(bounds));
+        local_view.policy = policy;
+        local_view.quota_bounds = quota_bounds(bounds);
+        local_view.crashes = Crashes::with_delay(fastrand::u64(..MOST_LATE_MS));
         Self {
-            beliefs: Mutex::new(beliefs),
+            local_view: Mutex::new(local_view),
             changed: Event::new(),
             wished: Event::new(),
             forwarded: Event::new(),
@@ -53,10 +53,10 @@
 
     /// Puts changed bounds in force.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
-        self.with(|beliefs| {
-            beliefs.retry_bounds = retry_bounds(bounds);
-            beliefs.quota_bounds = quota_bounds(bounds);
-            beliefs.directory.set_leaving_ms(bounds.leaving_ms);
+        self.with(|local_view| {
+            local_view.retry_bounds = retry_bounds(bounds);
+            local_view.quota_bounds = quota_bounds(bounds);
+            local_view.directory.set_draining_ms(bounds.leaving_ms);
         });
     }
 
@@ -66,12 +66,12 @@
     }
 
     /// Looks at what is believed, or notes something that nobody waits for.
-    pub(crate) fn with<R>(&self, look: impl FnOnce(&mut Beliefs) -> R) -> R {
-        look(&mut self.beliefs.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with<R>(&self, look: impl FnOnce(&mut LocalView) -> R) -> R {
+        look(&mut self.local_view.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Changes what is believed, and wakes whoever waits for a change.
-    pub(crate) fn change<R>(&self, change: impl FnOnce(&mut Beliefs) -> R) -> R {
+    pub(crate) fn change<R>(&self, change: impl FnOnce(&mut LocalView) -> R) -> R {
         let result = self.with(change);
         self.say_changed();
         result
@@ -122,7 +122,7 @@
 
     /// The configuration in force.
     pub(crate) fn catalog(&self) -> Option<Arc<Catalog>> {
-        self.with(|beliefs| beliefs.catalog.clone())
+        self.with(|local_view| local_view.catalog.clone())
     }
 }
 
--- a/crates/trestle-entry/src/lending.rs
+++ b/crates/trestle-entry/src/lending.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use trestle_core::names::TeamName;
 use trestle_dispatch::{
-    lender::{Lender, Loan},
     quota::{QuotaBounds, QuotaPlan},
+    quota_allocator::{Allocation, QuotaAllocator},
     team::TeamLimit,
 };
 use trestle_wire::{
@@ -44,7 +44,7 @@
     let now_ms = daemon.knowledge.now_ms();
     let at_hand = daemon.with_allowances(|allowances| {
         let spent = allowances.spend(team, units, now_ms);
-        spent.ok_or_else(|| allowances.spent_out_for_ms(team, now_ms))
+        spent.ok_or_else(|| allowances.exhausted_for_ms(team, now_ms))
     });
     match at_hand {
         Ok(until_ms) => return Ok(until_ms),
@@ -53,7 +53,7 @@
     }
     match borrow(daemon, team, units).await {
         WireLoan::Lent { .. } => {
-            let bounds = daemon.knowledge.with(|beliefs| beliefs.quota_bounds);
+            let bounds = daemon.knowledge.with(|local_view| local_view.quota_bounds);
             Ok(now_ms + bounds.valid_ms(limit))
         }
         WireLoan::Refused { in_ms } => {
@@ -90,26 +90,28 @@
     let Some(limited) = Limited::of(daemon, &team) else { return WireLoan::NotLending };
     let units = borrowing.units;
     if borrowing.is_leader {
-        let give = |lender: &mut Lender, plan: &_, now_ms| lender.give(&team, units, plan, now_ms);
+        let give = |quota_allocator: &mut QuotaAllocator, plan: &_, now_ms| {
+            quota_allocator.transfer_out(&team, units, plan, now_ms)
+        };
         return WireLoan::Lent { units: with_lender(daemon, &limited, give) };
     }
-    let (loan, wanted) = with_lender(daemon, &limited, |lender, plan, now_ms| {
-        let loan = lender.lend(&team, units, plan, now_ms);
-        let is_short = matches!(loan, Loan::Refused { .. });
-        let wanted = is_short.then(|| lender.to_ask_others(&team, units, plan, now_ms));
+    let (loan, wanted) = with_lender(daemon, &limited, |quota_allocator, plan, now_ms| {
+        let loan = quota_allocator.allocate(&team, units, plan, now_ms);
+        let is_short = matches!(loan, Allocation::Refused { .. });
+        let wanted = is_short.then(|| quota_allocator.units_to_request(&team, units, plan, now_ms));
         (loan, wanted.flatten())
     });
     let Some(wanted) = wanted else { return loan.into() };
     let given = ask_others(daemon, &team, wanted).await;
-    let again = with_lender(daemon, &limited, |lender, plan, now_ms| {
+    let again = with_lender(daemon, &limited, |quota_allocator, plan, now_ms| {
         if given == 0 {
-            lender.nothing_given(&team, now_ms);
+            quota_allocator.record_empty_transfer(&team, now_ms);
             return loan;
         }
-        lender.receive(&team, given, plan, now_ms);
-        let again = lender.lend(&team, units, plan, now_ms);
+        quota_allocator.transfer_in(&team, given, plan, now_ms);
+        let again = quota_allocator.allocate(&team, units, plan, now_ms);
         // Both questions are one.
-        lender.met(&team, units);
+        quota_allocator.settle_refusal(&team, units);
         again
     });
     again.into()
@@ -136,13 +138,13 @@
 fn with_lender<R>(
     daemon: &Daemon,
     limited: &Limited,
-    look: impl FnOnce(&mut Lender, &QuotaPlan, u64) -> R,
+    look: impl FnOnce(&mut QuotaAllocator, &QuotaPlan, u64) -> R,
 ) -> R {
-    daemon.with_lender(|lender| {
+    daemon.with_lender(|quota_allocator| {
         let now_ms = daemon.knowledge.now_ms();
-        lender.set_leases(&daemon.order_permits.held(now_ms), now_ms);
-        let plan = lender.plan(&limited.limit, &limited.bounds);
-        look(lender, &plan, now_ms)
+        quota_allocator.set_leases(&daemon.order_permits.held(now_ms), now_ms);
+        let plan = quota_allocator.plan(&limited.limit, &limited.bounds);
+        look(quota_allocator, &plan, now_ms)
     })
 }
 
@@ -155,9 +157,9 @@
 impl Limited {
     /// That of a team; none if it has none, or is not known.
     fn of(daemon: &Daemon, team: &TeamName) -> Option<Self> {
-        daemon.knowledge.with(|beliefs| {
-            let limit = beliefs.catalog.as_ref()?.teams.get(team)?.limit?;
-            Some(Self { limit, bounds: beliefs.quota_bounds })
+        daemon.knowledge.with(|local_view| {
+            let limit = local_view.catalog.as_ref()?.teams.get(team)?.limit?;
+            Some(Self { limit, bounds: local_view.quota_bounds })
         })
     }
 }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -202,12 +202,12 @@
 /// What metrics tell that is counted elsewhere.
 fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
     let now_ms = daemon.knowledge.now_ms();
-    daemon.knowledge.with(|beliefs| Counted {
+    daemon.knowledge.with(|local_view| Counted {
         store_calls: daemon.store.calls(),
         log_drops: logs.dropped(),
-        limited: beliefs.backpressure.limited(),
-        resting: beliefs.backpressure.resting(now_ms),
-        leaving: beliefs.directory.iter().filter(|endpoint| endpoint.is_leaving).count(),
+        limited: local_view.backpressure.limited(),
+        resting: local_view.backpressure.backing_off(now_ms),
+        leaving: local_view.directory.iter().filter(|endpoint| endpoint.is_draining).count(),
     })
 }
 
--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -19,7 +19,7 @@
     net::SocketAddr,
     sync::{Mutex, PoisonError},
 };
-use trestle_dispatch::endpoint::{Endpoint, Life};
+use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
 /// Time for opening a connection; ways within a region take a few ms.
 pub(crate) const CONNECT_MS: u64 = 300;
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
-    kept: Mutex<BTreeMap<Life, Vec<Kept>>>,
+    kept: Mutex<BTreeMap<Incarnation, Vec<Kept>>>,
 }
 
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     ///
     /// Fails if the endpoint cannot be connected to.
     pub(crate) async fn connection(&self, endpoint: &Endpoint) -> io::Result<Connection> {
-        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.life()) {
+        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
             return Ok(Connection { sender, is_fresh: false, opened_ms });
         }
         let sender = open(endpoint.address).await?;
@@ -89,7 +89,7 @@
         let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_PART) as u64);
         let until_ms = self.clock.now_ms() + idle_ms;
         let mut kept = self.lock();
-        let of_endpoint = kept.entry(endpoint.life()).or_default();
+        let of_endpoint = kept.entry(endpoint.incarnation()).or_default();
         if of_endpoint.len() < MOST_KEPT {
             let Connection { sender, opened_ms, .. } = connection;
             of_endpoint.push(Kept { sender, until_ms, opened_ms });
@@ -97,7 +97,7 @@
     }
 
     /// Closes connections that were idle for too long, and those to endpoints that are gone.
-    pub(crate) fn tidy(&self, is_live: impl Fn(&Life) -> bool) {
+    pub(crate) fn tidy(&self, is_live: impl Fn(&Incarnation) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut kept = self.lock();
         kept.retain(|endpoint, connections| {
@@ -106,7 +106,7 @@
         });
     }
 
-    fn take(&self, endpoint: &Life) -> Option<Kept> {
+    fn take(&self, endpoint: &Incarnation) -> Option<Kept> {
         let now_ms = self.clock.now_ms();
         let mut kept = self.lock();
         let of_endpoint = kept.get_mut(endpoint)?;
@@ -118,7 +118,7 @@
         None
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Life, Vec<Kept>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<Kept>>> {
         self.kept.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
