--- a/crates/trestle-entry/src/notices.rs
+++ b/crates/trestle-entry/src/notices.rs
@@ -3,7 +3,7 @@
 use crate::{daemon::Daemon, net::exchange};
 use http::{Response, StatusCode};
 use trestle_dispatch::{
-    backpressure::{Answer, Heard},
+    backpressure::{Answer, SignalChange},
     endpoint::Endpoint,
 };
 
@@ -21,7 +21,7 @@
     let (status, headers) = (response.status(), response.headers());
     let notice = (daemon.wire.head.read_notice)(status, headers);
     let is_success = status.is_success();
-    take(daemon, endpoint, Answer { notice: &notice, is_success, id, sent_ms });
+    take(daemon, endpoint, Answer { signals: &notice, is_success, id, sent_ms });
 }
 
 /// Takes what the answer to a call of control says of its endpoint. That it says nothing means
@@ -29,14 +29,15 @@
 pub(crate) fn hear_call(daemon: &Daemon, endpoint: &Endpoint, answer: &exchange::Answer) {
     let Ok(status) = StatusCode::from_u16(answer.status) else { return };
     let notice = (daemon.wire.head.read_notice)(status, &answer.headers);
-    let said = Answer { notice: &notice, is_success: false, id: ORDER_ID, sent_ms: 0 };
+    let said = Answer { signals: &notice, is_success: false, id: ORDER_ID, sent_ms: 0 };
     take(daemon, endpoint, said);
 }
 
 fn take(daemon: &Daemon, endpoint: &Endpoint, answer: Answer<'_>) {
     let now_ms = daemon.knowledge.now_ms();
-    let life = endpoint.life();
-    let heard = daemon.knowledge.with(|beliefs| beliefs.hear(&life, answer, now_ms));
+    let incarnation = endpoint.incarnation();
+    let heard =
+        daemon.knowledge.with(|local_view| local_view.apply_answer(&incarnation, answer, now_ms));
     for news in &heard {
         log(endpoint, news, answer.id);
     }
@@ -45,20 +46,20 @@
     }
 }
 
-fn log(endpoint: &Endpoint, news: &Heard, id: &str) {
-    let (endpoint, born_ms) = (&endpoint.name, endpoint.born_ms);
+fn log(endpoint: &Endpoint, news: &SignalChange, id: &str) {
+    let (endpoint, born_ms) = (&endpoint.name, endpoint.started_unix_ms);
     match news {
-        Heard::Limit { per_ks } => {
+        SignalChange::Limit { per_ks } => {
             let limit_per_s = *per_ks as f64 / 1e3;
             tracing::info!(%endpoint, born_ms, limit_per_s, heard_in = id, "endpoint: It names a limit.");
         }
-        Heard::Leaves => {
+        SignalChange::Draining => {
             tracing::info!(%endpoint, born_ms, heard_in = id, "endpoint: It says that it leaves.");
         }
-        Heard::Rest { for_ms } => {
+        SignalChange::Backoff { for_ms } => {
             tracing::info!(%endpoint, born_ms, for_ms, heard_in = id, "endpoint: It asks for rest.");
         }
-        Heard::Unreadable { what, text } => {
+        SignalChange::Unreadable { what, text } => {
             tracing::warn!(
                 %endpoint, born_ms, what, text, heard_in = id,
                 "endpoint: What it says cannot be read, and counts for nothing."
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -87,12 +87,12 @@
         true => Vec::new(),
         false => departures::for_new_asker(daemon),
     };
-    daemon.knowledge.with(|beliefs| WireRelay {
+    daemon.knowledge.with(|local_view| WireRelay {
         departures,
-        endpoints: WireNews::from(beliefs.list_after(have.endpoints)),
-        config: beliefs.config_texts.news(have.config).map(WireConfig::from),
+        endpoints: WireNews::from(local_view.list_since(have.endpoints)),
+        config: local_view.config_texts.update_since(have.config).map(WireConfig::from),
         age_ms,
-        config_age_ms: beliefs
+        config_age_ms: local_view
             .catalog
             .as_ref()
             .filter(|catalog| !catalog.teams.is_empty())
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -13,7 +13,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use trestle_core::names::{DomainName, ServiceName};
 use trestle_dispatch::{
-    asked::Asked, beliefs::Beliefs, pace::Pace, placement_log::PlacementMirror,
+    local_demand::LocalDemand, local_view::LocalView, pace::Pace, placement_log::PlacementMirror,
 };
 use trestle_wire::{
     relay::{WireHave, WireRelay},
@@ -69,14 +69,14 @@
         talk.note_outcome(synced, now_ms);
         if synced != is_heard {
             is_heard = synced;
-            daemon.knowledge.change(|beliefs| beliefs.note_leader(is_heard, now_ms));
+            daemon.knowledge.change(|local_view| local_view.record_leader(is_heard, now_ms));
             tracing::info!(heard = is_heard, "sync: The leader was found or lost.");
         }
         if synced {
             heard_ms = now_ms;
         } else if now_ms > heard_ms + BELIEVED_MS {
             let has_read_entries = !daemon.freshness.must_reread();
-            daemon.knowledge.with(|beliefs| beliefs.forget_replicas(has_read_entries));
+            daemon.knowledge.with(|local_view| local_view.clear_replicas(has_read_entries));
         }
         let pace = pace(&daemon);
         let least_ms = pace.least_ms();
@@ -95,17 +95,20 @@
 }
 
 fn pace(daemon: &Daemon) -> Pace {
-    let askers = daemon.knowledge.with(|beliefs| beliefs.askers);
+    let askers = daemon.knowledge.with(|local_view| local_view.leader_clients);
     Pace::of(askers, daemon.freshness.shortest_bound_ms())
 }
 
 fn has_unanswered(daemon: &Daemon) -> bool {
-    daemon.knowledge.with(|beliefs| beliefs.asked.values().any(Asked::has_unanswered))
+    daemon
+        .knowledge
+        .with(|local_view| local_view.local_demand.values().any(LocalDemand::has_unplanned))
 }
 
 fn is_waiting(daemon: &Daemon) -> bool {
-    let waits =
-        |beliefs: &mut Beliefs| beliefs.asked.values().any(|asked| !asked.waiting.is_empty());
+    let waits = |local_view: &mut LocalView| {
+        local_view.local_demand.values().any(|asked| !asked.waiting.is_empty())
+    };
     daemon.knowledge.with(waits)
 }
 
@@ -192,9 +195,9 @@
         let placements = self.placements.iter();
         let placements =
             placements.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
-        daemon.knowledge.with(|beliefs| WireHave {
-            endpoints: beliefs.listing.version(),
-            config: beliefs.catalog.as_ref().map_or(0, |catalog| catalog.version),
+        daemon.knowledge.with(|local_view| WireHave {
+            endpoints: local_view.listing.version(),
+            config: local_view.catalog.as_ref().map_or(0, |catalog| catalog.version),
             refused: 0,
             departures,
             placements: placements.collect(),
@@ -207,8 +210,9 @@
         let engines = catalog.services.iter().filter(|(_, service)| service.engine.is_some());
         let nothing = PlacementMirror::default();
         let digests = engines.map(|(service, _)| {
-            let digest =
-                daemon.knowledge.with(|beliefs| beliefs.asked_of(service).digest(is_first, now_ms));
+            let digest = daemon
+                .knowledge
+                .with(|local_view| local_view.local_demand_for(service).report(is_first, now_ms));
             let placements = self.placements.get(service).unwrap_or(&nothing);
             let log = placements.position().log;
             WireDigest::new(service, digest, log, |name| placements.number(name))
@@ -219,17 +223,18 @@
     fn learn(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
         let now_ms = daemon.knowledge.now_ms();
         let mut is_news = false;
-        let counted = daemon.knowledge.with(|beliefs| beliefs.daemons);
+        let counted = daemon.knowledge.with(|local_view| local_view.daemons);
         for (service, mut view) in views {
             let service = ServiceName::from(service);
             let placements = self.placements.entry(service.clone()).or_default();
             placements.take(std::mem::take(&mut view.placements).into());
             let planned = view.planned;
             let view = view.into_view(placements);
-            is_news |=
-                daemon.knowledge.with(|beliefs| beliefs.learn(service, view, planned, now_ms));
+            is_news |= daemon
+                .knowledge
+                .with(|local_view| local_view.update_replicas(service, view, planned, now_ms));
         }
-        let daemons = daemon.knowledge.with(|beliefs| beliefs.daemons);
+        let daemons = daemon.knowledge.with(|local_view| local_view.daemons);
         if counted == 0 && daemons > 0 {
             tracing::info!(daemons, "sync: The daemons that share budgets were counted.");
         }
--- a/crates/trestle-entry/src/places.rs
+++ b/crates/trestle-entry/src/places.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use trestle_core::names::DomainName;
 use trestle_dispatch::{
-    endpoint::{Endpoint, Life},
-    endpoint_limits::PLACE_VALID_MS,
+    endpoint::{Endpoint, Incarnation},
+    endpoint_limits::PERMIT_VALID_MS,
 };
 use trestle_wire::{
     places::{WirePlace, WirePlaceAsking},
@@ -21,35 +21,39 @@
 /// daemon knows why when this returns.
 pub(crate) async fn ask(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
     let asked_ms = daemon.knowledge.now_ms();
-    let life = endpoint.life();
-    let heard = daemon.knowledge.with(|beliefs| beliefs.backpressure.asking(&life, asked_ms))?;
+    let incarnation = endpoint.incarnation();
+    let heard = daemon
+        .knowledge
+        .with(|local_view| local_view.backpressure.permit_requested(&incarnation, asked_ms))?;
     let asking = WirePlaceAsking {
-        endpoint: life.name.to_string(),
-        born_ms: life.born_ms,
+        endpoint: incarnation.name.to_string(),
+        born_ms: incarnation.started_unix_ms,
         group: endpoint.domain.to_string(),
         per_ks: heard.per_ks,
-        heard_ago_ms: asked_ms.saturating_sub(heard.heard_ms),
-        silent: heard.silent,
-        silent_ago_ms: asked_ms.saturating_sub(heard.silent_ms),
+        heard_ago_ms: asked_ms.saturating_sub(heard.observed_ms),
+        silent: heard.answers_without_limit,
+        silent_ago_ms: asked_ms.saturating_sub(heard.last_without_ms),
         is_passed_on: false,
     };
     let place = borrow(daemon, asking).await;
     let now_ms = daemon.knowledge.now_ms();
-    tracing::debug!(id, endpoint = %life.name, ?place, "endpoint: A place was asked for.");
-    let change = |beliefs: &mut trestle_dispatch::beliefs::Beliefs| {
-        let backpressure = &mut beliefs.backpressure;
+    tracing::debug!(id, endpoint = %incarnation.name, ?place, "endpoint: A place was asked for.");
+    let change = |local_view: &mut trestle_dispatch::local_view::LocalView| {
+        let backpressure = &mut local_view.backpressure;
         match place {
             WirePlace::Lent => {}
-            WirePlace::Refused { in_ms } => backpressure.refused(&life, in_ms, now_ms),
-            WirePlace::NotLending => backpressure.asked_in_vain(&life, now_ms),
-            WirePlace::Lifted => return backpressure.lifted(&life, asked_ms),
+            WirePlace::Refused { in_ms } => {
+                backpressure.permit_refused(&incarnation, in_ms, now_ms)
+            }
+            WirePlace::NotLending => backpressure.allocator_unreachable(&incarnation, now_ms),
+            WirePlace::Lifted => return backpressure.limit_lifted(&incarnation, asked_ms),
         }
         false
     };
     if daemon.knowledge.with(change) {
-        tracing::info!(endpoint = %life.name, "endpoint: It names no limit any more.");
+        tracing::info!(endpoint = %incarnation.name, "endpoint: It names no limit any more.");
     }
-    (place == WirePlace::Lent).then_some(asked_ms + PLACE_VALID_MS)
+    (place == WirePlace::Lent).then_some(asked_ms + PERMIT_VALID_MS)
 }
 
 /// Asks the leader of an endpoint's group, where this daemon knows it, or else has its own leader
@@ -95,11 +99,12 @@
 /// Decides on a place, as of the lease that this daemon holds at this moment.
 fn lend_here(daemon: &Daemon, asking: &WirePlaceAsking) -> WirePlace {
     let group = DomainName::from(asking.group.as_str());
-    let life = Life { name: asking.endpoint.as_str().into(), born_ms: asking.born_ms };
+    let incarnation =
+        Incarnation { name: asking.endpoint.as_str().into(), started_unix_ms: asking.born_ms };
     let place = daemon.with_endpoint_limits(|limits| {
         let now_ms = daemon.knowledge.now_ms();
         let lease = daemon.order_permits.held(now_ms).remove(&group);
-        limits.ask(&life, &group, lease, asking.heard(now_ms), now_ms)
+        limits.request_permit(&incarnation, &group, lease, asking.heard(now_ms), now_ms)
     });
     place.into()
 }
--- a/crates/trestle-entry/src/store/config.rs
+++ b/crates/trestle-entry/src/store/config.rs
@@ -6,7 +6,7 @@
 };
 use std::sync::Arc;
 use trestle_dispatch::{
-    config_texts::{ConfigNews, unpacked},
+    config_texts::{ConfigUpdate, decompress_pieces},
     store::{Row, RowChange, RowPage},
     text_delta::apply_delta,
 };
@@ -59,18 +59,19 @@
 }
 
 /// Takes what another daemon passes on of the configuration; returns whether it was understood.
-pub(crate) fn take_passed_on(daemon: &Daemon, news: &ConfigNews) -> bool {
+pub(crate) fn take_passed_on(daemon: &Daemon, news: &ConfigUpdate) -> bool {
     match news {
-        ConfigNews::Whole(packed) => match packed.text() {
+        ConfigUpdate::Whole(packed) => match packed.decompress() {
             Some(text) => take_text(daemon, &text),
             None => {
                 tracing::error!("config: A configuration was packed otherwise.");
                 false
             }
         },
-        ConfigNews::Changes { from, pieces } => {
-            let old = daemon.knowledge.with(|beliefs| beliefs.config_texts.text(*from).cloned());
-            match old.and_then(|old| apply_delta(&old, &unpacked(pieces)?)) {
+        ConfigUpdate::Changes { from, pieces } => {
+            let old =
+                daemon.knowledge.with(|local_view| local_view.config_texts.text(*from).cloned());
+            match old.and_then(|old| apply_delta(&old, &decompress_pieces(pieces)?)) {
                 Some(text) => take_text(daemon, &text),
                 None => {
                     tracing::error!(from, "config: Changes do not fit what is known.");
@@ -96,9 +97,9 @@
         return true;
     }
     let (version, routes) = (catalog.version, catalog.routes.iter().count());
-    daemon.knowledge.change(|beliefs| {
-        beliefs.catalog = Some(Arc::new(catalog));
-        beliefs.config_texts.take(version, text.to_vec());
+    daemon.knowledge.change(|local_view| {
+        local_view.catalog = Some(Arc::new(catalog));
+        local_view.config_texts.add(version, text.to_vec());
     });
     daemon.metrics.config_version(version);
     let bytes = text.len();
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use trestle_core::names::EndpointName;
 use trestle_dispatch::{
-    beliefs::{Beliefs, ListHeard, ListWay},
     endpoint::Endpoint,
-    listing::{ListedEntry, News, Source},
+    listing::{ListUpdate, ListedEntry, Source},
+    local_view::{ListOrigin, ListSource, LocalView},
     store::{Row, RowChange, RowPage},
 };
 
@@ -36,7 +36,7 @@
             false => ALONE_GATHER_MS,
         },
         after: |last: Option<u64>| {
-            let version = daemon.knowledge.with(|beliefs| beliefs.listing.version());
+            let version = daemon.knowledge.with(|local_view| local_view.listing.version());
             last.filter(|_| !daemon.freshness.must_reread()).map(|_| version)
         },
         on_read: |page: RowPage, _| {
@@ -51,69 +51,75 @@
         },
         on_failure: || {
             let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|beliefs| beliefs.directory.read(false, now_ms));
+            daemon.knowledge.with(|local_view| local_view.directory.record_read(false, now_ms));
         },
     };
     follow::run(&daemon, followed).await;
 }
 
 fn leader_gather_ms(daemon: &Daemon) -> u64 {
-    let endpoints = daemon.knowledge.with(|beliefs| beliefs.directory.iter().count()) as u64;
+    let endpoints = daemon.knowledge.with(|local_view| local_view.directory.iter().count()) as u64;
     (GATHER_MS * endpoints / 100).clamp(GATHER_MS, MOST_GATHER_MS)
 }
 
 /// Takes what this daemon has read of endpoints; returns whether it is a whole list that is not
 /// older than what is known.
-fn read(daemon: &Daemon, news: News) -> bool {
+fn read(daemon: &Daemon, news: ListUpdate) -> bool {
     let now_ms = daemon.knowledge.now_ms();
     daemon.freshness.endpoints_read(now_ms);
-    take(daemon, news, Source::Store, ListHeard { way: ListWay::Store, known_ms: now_ms })
+    take(daemon, news, Source::Store, ListOrigin { source: ListSource::Store, known_ms: now_ms })
 }
 
 /// Takes what another daemon passes on of endpoints, without what engines hold.
-pub(crate) fn take_passed_on(daemon: &Daemon, news: News, age_ms: u64) {
+pub(crate) fn take_passed_on(daemon: &Daemon, news: ListUpdate, age_ms: u64) {
     let known_ms = daemon.knowledge.now_ms().saturating_sub(age_ms);
-    take(daemon, news, Source::Leader, ListHeard { way: ListWay::Leader, known_ms });
+    take(daemon, news, Source::Leader, ListOrigin { source: ListSource::Leader, known_ms });
 }
 
-fn take(daemon: &Daemon, news: News, source: Source, heard: ListHeard) -> bool {
+fn take(daemon: &Daemon, news: ListUpdate, source: Source, heard: ListOrigin) -> bool {
     let now_ms = daemon.knowledge.now_ms();
     let mut came = Vec::new();
-    let (is_whole, is_news) = daemon.knowledge.with(|beliefs| {
-        beliefs.directory.read(true, now_ms);
-        beliefs.list_heard = heard;
-        let fresh = beliefs.listing.take(news, source);
+    let (is_whole, is_news) = daemon.knowledge.with(|local_view| {
+        local_view.directory.record_read(true, now_ms);
+        local_view.list_origin = heard;
+        let fresh = local_view.listing.apply(news, source);
         let is_whole = fresh.is_whole;
         let is_news = is_whole || !fresh.written.is_empty() || !fresh.removed.is_empty();
-        came = apply(beliefs, fresh, source, now_ms);
+        came = apply(local_view, fresh, source, now_ms);
         (is_whole, is_news)
     });
     if is_news {
         came.iter().for_each(|endpoint| broken::note_came(daemon, endpoint));
         broken::note_gone(daemon);
-        daemon.knowledge.change(|beliefs| beliefs.forget_gone());
+        daemon.knowledge.change(|local_view| local_view.forget_unlisted());
     }
     is_whole
 }
 
 /// Applies news; returns endpoints that have come.
-fn apply(beliefs: &mut Beliefs, fresh: News, source: Source, now_ms: u64) -> Vec<Endpoint> {
-    let News { is_whole, written, removed, version } = fresh;
+fn apply(
+    local_view: &mut LocalView,
+    fresh: ListUpdate,
+    source: Source,
+    now_ms: u64,
+) -> Vec<Endpoint> {
+    let ListUpdate { is_whole, written, removed, version } = fresh;
     let mut came = Vec::new();
     if is_whole {
-        note_whole(beliefs, &written, &removed, version);
-        beliefs.is_listed = true;
+        note_whole(local_view, &written, &removed, version);
+        local_view.is_list_read = true;
     }
     for entry in written {
         let (endpoint, version) = (&entry.endpoint, entry.version);
         let (name, number) = (endpoint.name.clone(), endpoint.entry_number);
         // A whole list is one line: it names hundreds, at every daemon.
-        if !is_whole || endpoint.is_leaving {
-            log_change(beliefs.directory.get(&name), endpoint, version);
+        if !is_whole || endpoint.is_draining {
+            log_change(local_view.directory.get(&name), endpoint, version);
         }
-        let new = Some(endpoint).filter(|endpoint| !beliefs.directory.lists(&endpoint.life()));
+        let new = Some(endpoint)
+            .filter(|endpoint| !local_view.directory.contains(&endpoint.incarnation()));
         let new = new.cloned();
-        if beliefs.take_entry(entry, source) {
+        if local_view.apply_entry(entry, source) {
             came.extend(new);
         } else {
             let message = "endpoint: An entry of before its removal came late.";
@@ -125,31 +131,37 @@
         if !is_whole {
             tracing::info!(endpoint = %name, version = at, "endpoint: Gone from the list.");
         }
-        beliefs.directory.removed(&name, now_ms);
+        local_view.directory.apply_removal(&name, now_ms);
     }
     came
 }
 
 /// Notes a whole list, and some of the endpoints that come and go with it.
-fn note_whole(beliefs: &Beliefs, written: &[ListedEntry], removed: &[(String, u64)], version: u64) {
+fn note_whole(
+    local_view: &LocalView,
+    written: &[ListedEntry],
+    removed: &[(String, u64)],
+    version: u64,
+) {
     let count = written.len();
-    let is_new = |entry: &&ListedEntry| beliefs.directory.get(&entry.endpoint.name).is_none();
+    let is_new = |entry: &&ListedEntry| local_view.directory.get(&entry.endpoint.name).is_none();
     let new = written.iter().filter(is_new).take(MOST_NAMED);
     let came: Vec<&str> = new.map(|entry| entry.key.as_str()).collect();
     let gone: Vec<&str> = removed.iter().take(MOST_NAMED).map(|(key, _)| key.as_str()).collect();
     tracing::info!(count, version, ?came, ?gone, "endpoint: The list was read.");
 }
 
-fn to_news(daemon: &Daemon, rows: impl Iterator<Item = Row>, version: u64) -> News {
+fn to_news(daemon: &Daemon, rows: impl Iterator<Item = Row>, version: u64) -> ListUpdate {
     let written = rows.filter_map(|row| {
         let endpoint = understood(daemon, &row)?;
         Some(ListedEntry { key: row.key.key, endpoint, version: row.version })
     });
-    News { is_whole: true, written: written.collect(), removed: Vec::new(), version }
+    ListUpdate { is_whole: true, written: written.collect(), removed: Vec::new(), version }
 }
 
-fn changed(daemon: &Daemon, changes: Vec<RowChange>, version: u64) -> News {
-    let mut news = News { is_whole: false, written: Vec::new(), removed: Vec::new(), version };
+fn changed(daemon: &Daemon, changes: Vec<RowChange>, version: u64) -> ListUpdate {
+    let mut news =
+        ListUpdate { is_whole: false, written: Vec::new(), removed: Vec::new(), version };
     for change in changes {
         match change {
             RowChange::Written(row) => {
@@ -183,14 +195,14 @@
 }
 
 fn log_change(known: Option<&Endpoint>, now: &Endpoint, version: u64) {
-    let was_leaving = known.map(|known| known.is_leaving);
-    let (endpoint, born_ms) = (&now.name, now.born_ms);
-    if was_leaving != Some(now.is_leaving) {
-        let (address, leaving) = (now.address, now.is_leaving);
+    let was_leaving = known.map(|known| known.is_draining);
+    let (endpoint, born_ms) = (&now.name, now.started_unix_ms);
+    if was_leaving != Some(now.is_draining) {
+        let (address, leaving) = (now.address, now.is_draining);
         tracing::info!(%endpoint, born_ms, %address, leaving, version, "endpoint: Listed.");
     }
-    if let Some(before) = known.filter(|known| known.born_ms != born_ms) {
-        let before_ms = before.born_ms;
+    if let Some(before) = known.filter(|known| known.started_unix_ms != born_ms) {
+        let before_ms = before.started_unix_ms;
         tracing::info!(%endpoint, born_ms, before_ms, version, "endpoint: It has started again.");
     }
     if known.is_some_and(|known| known.held.keys().ne(now.held.keys())) {
--- a/crates/trestle-entry/src/tidy.rs
+++ b/crates/trestle-entry/src/tidy.rs
@@ -7,7 +7,7 @@
     sync::Arc,
     time::{Duration, Instant},
 };
-use trestle_dispatch::endpoint::{Endpoint, Life};
+use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
 /// Between two rounds.
 const EVERY_MS: u64 = 500;
@@ -26,16 +26,17 @@
         if suspended_ms > NOTICED_MS {
             tracing::warn!(suspended_ms, "daemon: Its VM was suspended.");
         }
-        let lapsed = daemon.knowledge.with(|beliefs| beliefs.directory.tick(now_ms));
+        let lapsed = daemon.knowledge.with(|local_view| local_view.directory.drop_lapsed(now_ms));
         for name in &lapsed {
             tracing::info!(endpoint = %name, "endpoint: Did not come back; it counts as gone.");
         }
-        let live: BTreeSet<Life> =
-            daemon.knowledge.with(|beliefs| beliefs.directory.iter().map(Endpoint::life).collect());
-        daemon.knowledge.with(|beliefs| {
-            beliefs.backpressure.retain(|life| live.contains(life), now_ms);
+        let live: BTreeSet<Incarnation> = daemon
+            .knowledge
+            .with(|local_view| local_view.directory.iter().map(Endpoint::incarnation).collect());
+        daemon.knowledge.with(|local_view| {
+            local_view.backpressure.retain(|incarnation| live.contains(incarnation), now_ms);
         });
-        daemon.with_endpoint_limits(|limits| limits.tidy(now_ms));
+        daemon.with_endpoint_limits(|limits| limits.cleanup(now_ms));
         daemon.pool.tidy(|start| live.contains(start));
     }
 }
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -18,7 +18,7 @@
 use smol::Timer;
 use std::{io::ErrorKind, sync::Arc, time::Duration};
 use trestle_dispatch::{
-    endpoint::Endpoint, loadable::Loadable, request::AnswerHead, suspects::Evidence,
+    endpoint::Endpoint, loadable::Loadable, request::AnswerHead, unresolved_requests::Evidence,
 };
 
 /// Largest answer of a plain call that is taken.
@@ -67,19 +67,19 @@
                 }
             }
             let name = &taken.endpoint.name;
-            task.daemon.knowledge.with(|beliefs| match &unanswered {
+            task.daemon.knowledge.with(|local_view| match &unanswered {
                 Unanswered::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
                     Some(model) => {
                         let loadable = Loadable::new(model, task.head.adapter.as_ref());
-                        beliefs.records.denied(name, loadable, now_ms);
+                        local_view.records.denied(name, loadable, now_ms);
                     }
                     // Its address is another endpoint's now.
-                    None => beliefs.records.unreachable(name, now_ms),
+                    None => local_view.records.unreachable(name, now_ms),
                 },
                 Unanswered::NotRun(_) | Unanswered::NotSent => {}
-                Unanswered::Unreachable(_) => beliefs.records.unreachable(name, now_ms),
+                Unanswered::Unreachable(_) => local_view.records.unreachable(name, now_ms),
                 Unanswered::Broke(_) | Unanswered::MayHaveRun(_) | Unanswered::TimedOut(_) => {
-                    beliefs.records.failed(name, now_ms);
+                    local_view.records.failed(name, now_ms);
                 }
             });
             if matches!(unanswered, Unanswered::Broke(_)) {
@@ -106,7 +106,7 @@
         let connection = pool.connection(&taken.endpoint).await;
         let mut connection = connection.map_err(|error| {
             if error.kind() == ErrorKind::ConnectionRefused {
-                broken::ended(daemon, &taken.endpoint.life(), Evidence::Refused);
+                broken::ended(daemon, &taken.endpoint.incarnation(), Evidence::Refused);
             }
             Unanswered::Unreachable(error.to_string())
         })?;
@@ -142,15 +142,15 @@
     sent_ms: u64,
     opened_ms: u64,
 ) {
-    let life = endpoint.life();
+    let incarnation = endpoint.incarnation();
     match (status, &task.head.model) {
         // It says so, or lacks the model.
         (StatusCode::MISDIRECTED_REQUEST, Some(_)) => {}
         (StatusCode::MISDIRECTED_REQUEST, None) => {
-            broken::ended(&task.daemon, &life, Evidence::Replaced);
+            broken::ended(&task.daemon, &incarnation, Evidence::Replaced);
         }
-        _ => task.daemon.knowledge.with(|beliefs| {
-            beliefs.suspects.answered(&life, sent_ms, opened_ms);
+        _ => task.daemon.knowledge.with(|local_view| {
+            local_view.unresolved_requests.answered(&incarnation, sent_ms, opened_ms);
         }),
     }
 }
@@ -210,9 +210,9 @@
             Ok(content) => {
                 let is_sound = !parts.status.is_server_error();
                 let now_ms = knowledge.now_ms();
-                knowledge.with(|beliefs| match is_sound {
-                    true => beliefs.records.succeeded(name, now_ms),
-                    false => beliefs.records.failed(name, now_ms),
+                knowledge.with(|local_view| match is_sound {
+                    true => local_view.records.succeeded(name, now_ms),
+                    false => local_view.records.failed(name, now_ms),
                 });
                 if shows_its_end {
                     task.trial.settled();
@@ -229,7 +229,7 @@
             Err(unanswered) => {
                 task.trial.unanswered();
                 let now_ms = knowledge.now_ms();
-                knowledge.with(|beliefs| beliefs.records.failed(name, now_ms));
+                knowledge.with(|local_view| local_view.records.failed(name, now_ms));
                 if matches!(unanswered, Unanswered::Broke(_)) {
                     taken.broke();
                 }
--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -216,10 +216,10 @@
 }
 
 fn note_arrival(task: &Task) {
-    task.daemon.knowledge.with(|beliefs| {
-        beliefs.requested(&task.service, task.arrived_ms);
+    task.daemon.knowledge.with(|local_view| {
+        local_view.request_arrived(&task.service, task.arrived_ms);
         if let Some(model) = &task.head.model {
-            beliefs.model_requested(&task.service, model, task.arrived_ms);
+            local_view.model_request_arrived(&task.service, model, task.arrived_ms);
         }
     });
 }
--- a/crates/trestle-entry/src/traffic/payment.rs
+++ b/crates/trestle-entry/src/traffic/payment.rs
@@ -100,7 +100,7 @@
         return Ok(());
     }
     let spent_out =
-        daemon.with_allowances(|allowances| allowances.spent_out_for_ms(cost.team, now_ms));
+        daemon.with_allowances(|allowances| allowances.exhausted_for_ms(cost.team, now_ms));
     match spent_out {
         Some(in_ms) if in_ms > wait_ms(task) => Err(Failure::OverLimit { retry_after_ms: in_ms }),
         _ => Ok(()),
--- a/crates/trestle-entry/src/traffic/place.rs
+++ b/crates/trestle-entry/src/traffic/place.rs
@@ -1,7 +1,7 @@
 //! The place of one request at an endpoint that has named a limit.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use trestle_dispatch::endpoint::Life;
+use trestle_dispatch::endpoint::Incarnation;
 
 /// Time by which a request may leave after its place could last be used: it may open a
 /// connection first.
@@ -15,26 +15,28 @@
 
 #[derive(Debug)]
 struct Held {
-    life: Life,
+    incarnation: Incarnation,
     until_ms: u64,
 }
 
 impl Place {
     /// Takes a place that can be used until a time.
-    pub(crate) fn take(&self, life: Life, until_ms: u64) {
-        *self.held() = Some(Held { life, until_ms });
+    pub(crate) fn take(&self, incarnation: Incarnation, until_ms: u64) {
+        *self.held() = Some(Held { incarnation, until_ms });
     }
 
     /// The life of an endpoint at which there is a place for it now.
-    pub(crate) fn life(&self, now_ms: u64) -> Option<Life> {
+    pub(crate) fn incarnation(&self, now_ms: u64) -> Option<Incarnation> {
         let held = self.held();
-        held.as_ref().filter(|held| now_ms < held.until_ms).map(|held| held.life.clone())
+        held.as_ref().filter(|held| now_ms < held.until_ms).map(|held| held.incarnation.clone())
     }
 
     /// Whether it may leave for a life of an endpoint by this place.
-    pub(crate) fn may_leave(&self, life: &Life, now_ms: u64) -> bool {
+    pub(crate) fn may_leave(&self, incarnation: &Incarnation, now_ms: u64) -> bool {
         let held = self.held();
-        held.as_ref().is_some_and(|held| held.life == *life && now_ms < held.until_ms + SEND_MS)
+        held.as_ref().is_some_and(|held| {
+            held.incarnation == *incarnation && now_ms < held.until_ms + SEND_MS
+        })
     }
 
     /// Notes that it has left: a further send needs another place.
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -39,15 +39,21 @@
     pub(crate) fn leaves(&mut self) {
         let Some(request) = self.task.head.fingerprint else { return };
         self.is_open = true;
-        self.task.daemon.knowledge.with(|beliefs| beliefs.leaves_for(&self.endpoint, request));
+        self.task
+            .daemon
+            .knowledge
+            .with(|local_view| local_view.track_request(&self.endpoint, request));
     }
 
     /// Notes that the endpoint has not ended under it: it did not run there, or had an answer.
     pub(crate) fn settle(&mut self) {
         let Some(request) = self.task.head.fingerprint.filter(|_| self.is_open) else { return };
         self.is_open = false;
-        let life = self.endpoint.life();
-        self.task.daemon.knowledge.with(|beliefs| beliefs.suspects.settled(&life, request));
+        let incarnation = self.endpoint.incarnation();
+        self.task
+            .daemon
+            .knowledge
+            .with(|local_view| local_view.unresolved_requests.resolved(&incarnation, request));
     }
 
     /// Notes that its connection to the endpoint broke.
@@ -92,7 +98,7 @@
             }
             Selection::AskPlace(endpoint) => {
                 if let Some(until_ms) = places::ask(&task.daemon, &endpoint, &task.head.id).await {
-                    task.place.take(endpoint.life(), until_ms);
+                    task.place.take(endpoint.incarnation(), until_ms);
                 }
                 continue;
             }
@@ -131,16 +137,20 @@
 fn look(task: &Task, sends: &Sends, wish: Option<u64>) -> Selection {
     let lot = fastrand::u64(..);
     let now_ms = task.daemon.knowledge.now_ms();
-    let place = task.place.life(now_ms);
-    task.daemon.knowledge.with(|beliefs| {
+    let place = task.place.incarnation(now_ms);
+    task.daemon.knowledge.with(|local_view| {
         let asking = Asking { wish, place: place.as_ref(), ..task.asking() };
-        let selection = selection::select(beliefs, asking, sends, lot, now_ms);
+        let selection = selection::select(local_view, asking, sends, lot, now_ms);
         if let Selection::HeldBack(held_back) = &selection {
-            task.note_held_back(beliefs, &held_back.life, now_ms);
+            task.note_held_back(local_view, &held_back.incarnation, now_ms);
         }
         if let Selection::Send(endpoint) = &selection {
-            beliefs.sent(endpoint, task.head.model.as_ref(), task.head.adapter.as_ref());
-            task.note_list(beliefs, now_ms);
+            local_view.request_started(
+                endpoint,
+                task.head.model.as_ref(),
+                task.head.adapter.as_ref(),
+            );
+            task.note_list(local_view, now_ms);
         }
         selection
     })
@@ -149,7 +159,7 @@
 /// Whether another endpoint than the last could take the request over now.
 pub(crate) fn has_other(task: &Task, sends: &Sends) -> bool {
     let now_ms = task.daemon.knowledge.now_ms();
-    let look = |beliefs: &mut _| selection::has_other(beliefs, task.asking(), sends, now_ms);
+    let look = |local_view: &mut _| selection::has_other(local_view, task.asking(), sends, now_ms);
     task.daemon.knowledge.with(look)
 }
 
@@ -158,11 +168,11 @@
     let daemon = &task.daemon;
     let now_ms = daemon.knowledge.now_ms();
     let number = daemon.next_number();
-    daemon.knowledge.with(|beliefs| {
-        let policy = &beliefs.policy;
+    daemon.knowledge.with(|local_view| {
+        let policy = &local_view.policy;
         let wish = selection::wish_of_returning(policy, task.asking(), retry_after_ms, now_ms);
         if let Some(wish) = wish {
-            beliefs.asked_of(&task.service).returning.insert(number, wish);
+            local_view.local_demand_for(&task.service).returning.insert(number, wish);
         }
     });
     daemon.knowledge.wish();
@@ -174,7 +184,10 @@
             broken::note_left(&self.task.daemon, &self.endpoint, request);
         }
         let (model, adapter) = (self.task.head.model.as_ref(), self.task.head.adapter.as_ref());
-        self.task.daemon.knowledge.with(|beliefs| beliefs.ended(&self.endpoint, model, adapter));
+        self.task
+            .daemon
+            .knowledge
+            .with(|local_view| local_view.request_ended(&self.endpoint, model, adapter));
     }
 }
 
@@ -190,9 +203,9 @@
         let daemon = Arc::clone(&task.daemon);
         let number = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
-        daemon.knowledge.with(|beliefs| {
+        daemon.knowledge.with(|local_view| {
             if let Some(wish) = selection::wish(task.asking(), due_ms) {
-                beliefs.asked_of(&task.service).waiting.insert(number, wish);
+                local_view.local_demand_for(&task.service).waiting.insert(number, wish);
             }
         });
         daemon.knowledge.wish();
@@ -202,8 +215,8 @@
 
 impl Drop for WishGuard {
     fn drop(&mut self) {
-        self.daemon.knowledge.with(|beliefs| {
-            beliefs.asked_of(&self.service).waiting.remove(&self.number);
+        self.daemon.knowledge.with(|local_view| {
+            local_view.local_demand_for(&self.service).waiting.remove(&self.number);
         });
     }
 }
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -238,7 +238,7 @@
             let daemon = &self.task.daemon;
             let name = &source.taken.endpoint.name;
             let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|beliefs| beliefs.records.succeeded(name, now_ms));
+            daemon.knowledge.with(|local_view| local_view.records.succeeded(name, now_ms));
             if source.shows_its_end {
                 self.task.trial.settled();
                 source.taken.settle();
@@ -261,7 +261,7 @@
         let name = &source.taken.endpoint.name;
         let daemon = &self.task.daemon;
         let now_ms = daemon.knowledge.now_ms();
-        daemon.knowledge.with(|beliefs| beliefs.records.failed(name, now_ms));
+        daemon.knowledge.with(|local_view| local_view.records.failed(name, now_ms));
         tracing::info!(
             id = self.task.head.id, request = self.task.fingerprint(), endpoint = %name,
             reason = breach.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream broke."
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -17,9 +17,9 @@
 };
 use trestle_core::names::{EndpointName, ServiceName};
 use trestle_dispatch::{
-    beliefs::Beliefs,
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, Incarnation},
     identity::Identity,
+    local_view::LocalView,
     request::{Forwarded, RequestHead},
     route::Route,
     selection::Asking,
@@ -103,7 +103,7 @@
     pub(crate) fn take_next(&self, sends: &mut Sends) -> bool {
         let knowledge = &self.daemon.knowledge;
         let now_ms = knowledge.now_ms();
-        knowledge.with(|beliefs| sends.take_next(&self.route, &self.service, beliefs, now_ms))
+        knowledge.with(|local_view| sends.take_next(&self.route, &self.service, local_view, now_ms))
     }
 
     /// What all attempts of the request have in common, for logs.
@@ -115,35 +115,43 @@
     /// left, or named a limit, while a connection was opened.
     pub(crate) fn may_leave(&self, endpoint: &Endpoint) -> bool {
         let now_ms = self.daemon.knowledge.now_ms();
-        let life = endpoint.life();
-        let (is_usable, is_limited) = self.daemon.knowledge.with(|beliefs| {
-            let is_limited = beliefs.backpressure.limit(&life).is_some();
-            let rests = beliefs.backpressure.rests_for_ms(&life, now_ms).is_some();
-            (beliefs.directory.is_usable(&life) && !rests, is_limited)
+        let incarnation = endpoint.incarnation();
+        let (is_usable, is_limited) = self.daemon.knowledge.with(|local_view| {
+            let is_limited = local_view.backpressure.limit(&incarnation).is_some();
+            let rests = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
+            (local_view.directory.is_usable(&incarnation) && !rests, is_limited)
         });
         is_usable
-            && (!is_limited || self.place.may_leave(&life, now_ms))
+            && (!is_limited || self.place.may_leave(&incarnation, now_ms))
             && self.payment.send(self, now_ms)
     }
 
     /// Notes the endpoint that held it back.
-    pub(crate) fn note_held_back(&self, beliefs: &Beliefs, life: &Life, now_ms: u64) {
-        let endpoint = life.name.clone();
-        let (rest, limit) = (beliefs.backpressure.rest(life), beliefs.backpressure.limit(life));
+    pub(crate) fn note_held_back(
+        &self,
+        local_view: &LocalView,
+        incarnation: &Incarnation,
+        now_ms: u64,
+    ) {
+        let endpoint = incarnation.name.clone();
+        let (rest, limit) = (
+            local_view.backpressure.backoff(incarnation),
+            local_view.backpressure.limit(incarnation),
+        );
         let seen = match (rest, limit) {
             (Some(rest), _) => Some(HeldBackSeen {
                 endpoint,
                 limit_per_s: None,
                 rest_left_ms: Some(rest.until_ms.saturating_sub(now_ms)),
-                heard_ago_ms: now_ms.saturating_sub(rest.heard_ms),
-                heard_in: rest.heard_in.clone(),
+                heard_ago_ms: now_ms.saturating_sub(rest.observed_ms),
+                heard_in: rest.observed_in.clone(),
             }),
             (None, Some(limit)) => Some(HeldBackSeen {
                 endpoint,
                 limit_per_s: Some(limit.per_ks as f64 / 1e3),
                 rest_left_ms: None,
-                heard_ago_ms: now_ms.saturating_sub(limit.heard_ms),
-                heard_in: limit.heard_in.clone(),
+                heard_ago_ms: now_ms.saturating_sub(limit.observed_ms),
+                heard_in: limit.observed_in.clone(),
             }),
             (None, None) => None,
         };
@@ -158,12 +166,12 @@
     /// Whether the caller's key has not been taken away since it was routed.
     pub(crate) fn still_counts(&self) -> bool {
         let Some(catalog) = self.daemon.knowledge.catalog() else { return true };
-        catalog.version == self.config_version || self.identity.still_counts(&catalog)
+        catalog.version == self.config_version || self.identity.is_still_valid(&catalog)
     }
 
     /// Notes that it had a whole answer of an endpoint, so that it ends none.
     pub(crate) fn note_served(&self, endpoint: &Endpoint) {
-        let served = |beliefs: &mut Beliefs| beliefs.served(self.head.fingerprint);
+        let served = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
         if let Some(ends) = self.daemon.knowledge.with(served) {
             tracing::warn!(
                 id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
@@ -173,9 +181,9 @@
     }
 
     /// Notes the list that its endpoint was chosen from.
-    pub(crate) fn note_list(&self, beliefs: &Beliefs, now_ms: u64) {
-        let heard = beliefs.list_heard;
-        let (version, way) = (beliefs.listing.version(), heard.way.name());
+    pub(crate) fn note_list(&self, local_view: &LocalView, now_ms: u64) {
+        let heard = local_view.list_origin;
+        let (version, way) = (local_view.listing.version(), heard.source.name());
         let age_ms = now_ms.saturating_sub(heard.known_ms);
         *self.list.lock().unwrap_or_else(PoisonError::into_inner) =
             ListSeen { version, age_ms, way };
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -9,7 +9,9 @@
     time::Duration,
 };
 use trestle_core::names::VmName;
-use trestle_dispatch::{endpoint::Endpoint, fingerprint::Fingerprint, suspects::ENDS_WITHIN_MS};
+use trestle_dispatch::{
+    endpoint::Endpoint, fingerprint::Fingerprint, unresolved_requests::MAX_CRASH_DELAY_MS,
+};
 use trestle_wire::{
     replicas::ReplicasClient,
     trials::{WireTrial, WireTrialAnswer},
@@ -53,7 +55,8 @@
     ) -> Result<(), u64> {
         let number = daemon.next_number();
         let asked = ask(daemon, of_this_vm(daemon, request, number, false)).await;
-        let is_known = daemon.knowledge.with(|beliefs| beliefs.crashes.must_be_tried(request));
+        let is_known =
+            daemon.knowledge.with(|local_view| local_view.crashes.must_run_serially(request));
         tracing::info!(%request, answer = ?asked, is_known, "request: It may end endpoints; a leader was asked.");
         match asked {
             // What is only in doubt is not refused for want of a leader.
@@ -106,7 +109,7 @@
 /// Looks a moment later whether an endpoint has ended under a request whose answer nobody waited
 /// for.
 async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint, request: Fingerprint) {
-    Timer::after(Duration::from_millis(ENDS_WITHIN_MS)).await;
+    Timer::after(Duration::from_millis(MAX_CRASH_DELAY_MS)).await;
     broken::note(&daemon, &endpoint, Some(request));
 }
 
--- a/crates/trestle-entry/src/wire.rs
+++ b/crates/trestle-entry/src/wire.rs
@@ -9,9 +9,9 @@
 use trestle_dispatch::{
     catalog::Catalog,
     endpoint::{Endpoint, EngineReport},
-    notice::Notice,
     orders::{Order, OrderAnswer},
     request::{AnswerHead, Forwarded, RequestHead},
+    signals::EndpointSignals,
     store::{ConditionalWrite, Feed, RowPage, WriteOutcome},
 };
 
@@ -86,7 +86,7 @@
     /// Reads an endpoint's answer.
     pub read_answer: fn(&HeaderMap) -> AnswerHead,
     /// Reads what an endpoint says of itself in an answer with a status.
-    pub read_notice: fn(StatusCode, &HeaderMap) -> Notice,
+    pub read_notice: fn(StatusCode, &HeaderMap) -> EndpointSignals,
     /// Makes an endpoint's headers those for the caller.
     pub forward_answer: fn(&mut HeaderMap),
     /// Sets the headers of an answer of the daemon's own to a request with an id.
--- a/crates/trestle-lab/src/sim/leading.rs
+++ b/crates/trestle-lab/src/sim/leading.rs
@@ -8,7 +8,7 @@
 use trestle_core::names::{EndpointName, VmName};
 use trestle_dispatch::{
     demand::DemandDigest,
-    endpoint::{Endpoint, EngineReport, Life},
+    endpoint::{Endpoint, EngineReport, Incarnation},
     orders::{Next, Order, OrderAnswer, OrderChain},
     pace::Pace,
     replicas::ReplicaView,
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct UnderWay {
     chain: OrderChain,
-    life: Life,
+    incarnation: Incarnation,
     /// Orders sent so far; an answer to an older one no longer counts.
     sent: u64,
     answered: u64,
@@ -94,7 +94,7 @@
     }
 
     fn pace(&self, daemon: usize) -> Pace {
-        Pace::of(self.daemons[daemon].beliefs.daemons, BOUND_MS)
+        Pace::of(self.daemons[daemon].local_view.daemons, BOUND_MS)
     }
 
     /// A request has begun to wait: the leader should hear of it soon.
@@ -116,7 +116,7 @@
         }
         of.last_sync_us = self.now_us;
         let is_first = of.told_term != self.leader.term;
-        let digest = of.beliefs.asked_of(&self.service).digest(is_first, now_ms);
+        let digest = of.local_view.local_demand_for(&self.service).report(is_first, now_ms);
         let telling = Telling { term: self.leader.term, digest, list_version: of.list_version };
         let way_us = if daemon == self.leader.daemon { 0 } else { self.way_us() };
         if self.leader.is_there {
@@ -135,10 +135,10 @@
 
     fn lose_leader(&mut self, daemon: usize) {
         let now_ms = self.now_ms();
-        let beliefs = &mut self.daemons[daemon].beliefs;
-        beliefs.note_leader(false, now_ms);
-        if now_ms > beliefs.heard_ms + BELIEVED_MS {
-            beliefs.replicas.clear();
+        let local_view = &mut self.daemons[daemon].local_view;
+        local_view.record_leader(false, now_ms);
+        if now_ms > local_view.received_ms + BELIEVED_MS {
+            local_view.replicas.clear();
         }
         self.look_at_waiting(daemon);
     }
@@ -164,7 +164,7 @@
         }
         let of_leader = self.daemons[self.leader.daemon].list_version;
         let entries = self.list[telling.list_version.min(of_leader)..of_leader].iter();
-        let directory = &self.daemons[self.leader.daemon].beliefs.directory;
+        let directory = &self.daemons[self.leader.daemon].local_view.directory;
         let answer = Answer {
             term: self.leader.term,
             view: self.leader.state.view(&self.service, directory, now_ms),
@@ -185,15 +185,20 @@
             return;
         }
         of.told_term = answer.term;
-        let was_lost = !of.beliefs.has_leader;
-        of.beliefs.note_leader(true, now_ms);
+        let was_lost = !of.local_view.has_leader;
+        of.local_view.record_leader(true, now_ms);
         if of.list_version < answer.list_version {
             for entry in answer.entries {
-                take_entry(&mut of.beliefs.directory, entry, now_ms);
+                take_entry(&mut of.local_view.directory, entry, now_ms);
             }
             of.list_version = answer.list_version;
         }
-        let is_news = of.beliefs.learn(self.service.clone(), answer.view, answer.planned, now_ms);
+        let is_news = of.local_view.update_replicas(
+            self.service.clone(),
+            answer.view,
+            answer.planned,
+            now_ms,
+        );
         let is_waiting = !of.waiting.is_empty();
         let pace = self.pace(daemon);
         let next_ms = if is_waiting { pace.waiting_ms() } else { pace.calm_ms() };
@@ -211,7 +216,7 @@
                 if *at_us > self.now_us {
                     break;
                 }
-                take_entry(&mut of.beliefs.directory, entry.clone(), now_ms);
+                take_entry(&mut of.local_view.directory, entry.clone(), now_ms);
                 of.list_version += 1;
             }
         }
@@ -231,8 +236,8 @@
     fn plan(&mut self) {
         let now_ms = self.now_ms();
         self.leader.planned_us = self.now_us;
-        let beliefs = &self.daemons[self.leader.daemon].beliefs;
-        let directory: BTreeMap<EndpointName, Arc<Endpoint>> = beliefs
+        let local_view = &self.daemons[self.leader.daemon].local_view;
+        let directory: BTreeMap<EndpointName, Arc<Endpoint>> = local_view
             .directory
             .usable_shared(&self.service)
             .map(|endpoint| (endpoint.name.clone(), Arc::clone(endpoint)))
@@ -242,10 +247,11 @@
         for (endpoint, _, chain) in begun {
             let engine = self.engines.iter().position(|engine| engine.name == endpoint.name);
             let Some(engine) = engine else {
-                self.leader.state.change_ended(&endpoint.life(), &chain, now_ms);
+                self.leader.state.change_ended(&endpoint.incarnation(), &chain, now_ms);
                 continue;
             };
-            let under_way = UnderWay { chain, life: endpoint.life(), sent: 0, answered: 0 };
+            let under_way =
+                UnderWay { chain, incarnation: endpoint.incarnation(), sent: 0, answered: 0 };
             self.leader.under_way.insert(engine, under_way);
             let term = self.leader.term;
             self.queue.push(self.now_us, Event::ChangeStep { term, engine });
@@ -266,7 +272,7 @@
         match next {
             Next::Done | Next::Failed(_) => {
                 if let Some(ended) = self.leader.under_way.remove(&engine) {
-                    self.leader.state.change_ended(&ended.life, &ended.chain, now_ms);
+                    self.leader.state.change_ended(&ended.incarnation, &ended.chain, now_ms);
                 }
                 if self.now_us >= self.leader.planned_us + PLAN_GAP_US {
                     self.plan();
@@ -294,7 +300,7 @@
         let answers = of.is_alive && !self.is_silent(engine);
         let report = answers.then(|| {
             Box::new(EngineReport {
-                born_ms: 0,
+                started_unix_ms: 0,
                 held: of.held.clone(),
                 is_busy: of.is_busy(),
                 order_count: of.order_count,
@@ -396,8 +402,8 @@
 fn take_entry(directory: &mut trestle_dispatch::directory::Directory, entry: Entry, now_ms: u64) {
     match entry {
         Entry::Written(endpoint) => {
-            directory.written(endpoint);
+            directory.apply_written(endpoint);
         }
-        Entry::Removed(name) => directory.removed(&name, now_ms),
+        Entry::Removed(name) => directory.apply_removal(&name, now_ms),
     }
 }
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -125,10 +125,10 @@
         let stays_ms = admission::caller_stays_ms(route, of.allowed_ms);
         let attempt = of.attempt;
         self.queue.push(now_us + stays_ms * 1_000, Event::Leave(request, attempt));
-        let beliefs = &mut self.daemons[daemon].beliefs;
-        beliefs.requested(&self.service, now_ms);
+        let local_view = &mut self.daemons[daemon].local_view;
+        local_view.request_arrived(&self.service, now_ms);
         if let Some(model) = &of.head.model {
-            beliefs.model_requested(&self.service, model, now_ms);
+            local_view.model_request_arrived(&self.service, model, now_ms);
         }
         self.look(request);
     }
@@ -158,8 +158,8 @@
             is_paid: true,
             place: None,
         };
-        let beliefs = &mut self.daemons[of.daemon].beliefs;
-        match selection::select(beliefs, asking, &of.sends, lot, now_ms) {
+        let local_view = &mut self.daemons[of.daemon].local_view;
+        match selection::select(local_view, asking, &of.sends, lot, now_ms) {
             Selection::Send(endpoint) => self.send(request, endpoint),
             Selection::Wait { until_ms } => self.wait(request, until_ms, elapsed_ms),
             Selection::Try => unreachable!("engines here do not end under requests"),
@@ -198,7 +198,7 @@
         let Some(wish) = selection::wish(asking, due_ms) else { return };
         daemon.next_number += 1;
         of.wish = Some(daemon.next_number);
-        daemon.beliefs.asked_of(&self.service).waiting.insert(daemon.next_number, wish);
+        daemon.local_view.local_demand_for(&self.service).waiting.insert(daemon.next_number, wish);
         daemon.waiting.insert(request);
         let number = of.daemon;
         self.hurry_sync(number);
@@ -209,7 +209,7 @@
         let daemon = &mut self.daemons[of.daemon];
         daemon.waiting.remove(&request);
         if let Some(number) = of.wish.take() {
-            daemon.beliefs.asked_of(&self.service).waiting.remove(&number);
+            daemon.local_view.local_demand_for(&self.service).waiting.remove(&number);
         }
     }
 
@@ -217,13 +217,13 @@
         self.drop_wish(request);
         let now_ms = self.now_ms();
         let of = &mut self.requests[request];
-        let beliefs = &mut self.daemons[of.daemon].beliefs;
+        let local_view = &mut self.daemons[of.daemon].local_view;
         let route = &self.routes[of.class];
-        if !of.sends.take_next(route, &self.service, beliefs, now_ms) {
+        if !of.sends.take_next(route, &self.service, local_view, now_ms) {
             return self.refuse(request, LOOK_MS);
         }
         of.sends.sent(&endpoint.name);
-        beliefs.sent(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
+        local_view.request_started(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
         of.state = State::Sent;
         of.was_sent = true;
         of.send += 1;
@@ -316,8 +316,8 @@
     fn end_send(&mut self, request: usize) {
         let of = &mut self.requests[request];
         if let Some(endpoint) = of.endpoint.take() {
-            let beliefs = &mut self.daemons[of.daemon].beliefs;
-            beliefs.ended(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
+            let local_view = &mut self.daemons[of.daemon].local_view;
+            local_view.request_ended(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
         }
         of.engine = None;
     }
@@ -345,7 +345,7 @@
             let of = &self.requests[request];
             if let Some(model) = &of.head.model {
                 let loadable = Loadable::new(model, of.head.adapter.as_ref());
-                self.daemons[of.daemon].beliefs.records.denied(&name, loadable, now_ms);
+                self.daemons[of.daemon].local_view.records.denied(&name, loadable, now_ms);
             }
         }
         self.send_failed(request, SendEnd::NotRun);
@@ -358,7 +358,7 @@
         let now_ms = self.now_ms();
         let daemon = self.requests[request].daemon;
         if let Some(name) = self.last_endpoint(request) {
-            self.daemons[daemon].beliefs.records.failed(&name, now_ms);
+            self.daemons[daemon].local_view.records.failed(&name, now_ms);
         }
         let of = &self.requests[request];
         match of.sends.has_more(&self.routes[of.class]) {
@@ -385,15 +385,15 @@
             is_paid: true,
             place: None,
         };
-        let beliefs = &mut self.daemons[of.daemon].beliefs;
+        let local_view = &mut self.daemons[of.daemon].local_view;
         let moves =
-            of.sends.has_more(route) && selection::has_other(beliefs, asking, &of.sends, now_ms);
+            of.sends.has_more(route) && selection::has_other(local_view, asking, &of.sends, now_ms);
         if !moves {
             let again_us = self.now_us + patience::first_event_ms(route) * 1_000;
             return self.queue.push(again_us, Event::Impatient { request, send });
         }
         if let Some(name) = self.last_endpoint(request) {
-            self.daemons[self.requests[request].daemon].beliefs.records.failed(&name, now_ms);
+            self.daemons[self.requests[request].daemon].local_view.records.failed(&name, now_ms);
         }
         self.cancel(request);
         self.send_failed(request, SendEnd::TimedOut);
@@ -421,7 +421,7 @@
         let now_ms = self.now_ms();
         if let Some(name) = self.last_endpoint(request) {
             let daemon = self.requests[request].daemon;
-            self.daemons[daemon].beliefs.records.succeeded(&name, now_ms);
+            self.daemons[daemon].local_view.records.succeeded(&name, now_ms);
         }
         let of = &self.requests[request];
         let class = &self.deployment.classes[of.class];
@@ -449,7 +449,11 @@
         let wish = selection::wish_of_returning(self.policy, asking, retry_after_ms, now_ms);
         if let Some(wish) = wish {
             daemon.next_number += 1;
-            daemon.beliefs.asked_of(&self.service).returning.insert(daemon.next_number, wish);
+            daemon
+                .local_view
+                .local_demand_for(&self.service)
+                .returning
+                .insert(daemon.next_number, wish);
         }
         let number = of.daemon;
         let class = &self.deployment.classes[of.class];
--- a/crates/trestle-lab/src/sim/world.rs
+++ b/crates/trestle-lab/src/sim/world.rs
@@ -20,9 +20,9 @@
 };
 use trestle_core::names::{AdapterName, ModelName, ServiceName};
 use trestle_dispatch::{
-    beliefs::Beliefs,
     catalog::{EngineSpec, ModelSpec},
     endpoint::Endpoint,
+    local_view::LocalView,
     policy::Policy,
     retry_share::RetryBounds,
     route::{Route, RouteKind, Target},
@@ -106,7 +106,7 @@
 /// One daemon.
 #[derive(Debug)]
 pub(super) struct Daemon {
-    pub(super) beliefs: Beliefs,
+    pub(super) local_view: LocalView,
     pub(super) is_alive: bool,
     pub(super) sync_turn: u64,
     pub(super) next_sync_us: u64,
@@ -232,11 +232,11 @@
     fn start_daemons(&mut self) {
         for number in 0..self.deployment.daemons {
             let domain = domain_name(number % self.deployment.domains);
-            let mut beliefs = Beliefs::new(domain.as_str().into(), LEAVING_MS, RETRY_BOUNDS);
-            beliefs.policy = self.policy.clone();
-            beliefs.daemons = self.deployment.daemons;
+            let mut local_view = LocalView::new(domain.as_str().into(), LEAVING_MS, RETRY_BOUNDS);
+            local_view.policy = self.policy.clone();
+            local_view.daemons = self.deployment.daemons;
             self.daemons.push(Daemon {
-                beliefs,
+                local_view,
                 is_alive: true,
                 sync_turn: 0,
                 next_sync_us: 0,
@@ -389,8 +389,8 @@
             address: ([127, 0, 0, 1], 1).into(),
             domain: engine.domain.as_str().into(),
             slots: self.spec.slots,
-            is_leaving: engine.is_leaving,
-            born_ms: 0,
+            is_draining: engine.is_leaving,
+            started_unix_ms: 0,
             entry_number: self.next_entry,
             held: engine.held.clone(),
             in_memory: engine.in_memory.clone(),
--- a/crates/trestle-wire/src/crashes.rs
+++ b/crates/trestle-wire/src/crashes.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other of requests under which endpoints ended.
 
-use trestle_dispatch::{crashes::CrashReport, endpoint::Life, fingerprint::Fingerprint};
+use trestle_dispatch::{crashes::CrashReport, endpoint::Incarnation, fingerprint::Fingerprint};
 
 /// What is known of one request.
 #[trestle_macros::wire]
@@ -35,9 +35,9 @@
 
 impl From<CrashReport> for WireCrash {
     fn from(report: CrashReport) -> Self {
-        let ends = report.ends.into_iter().map(|(life, age_ms)| WireEnd {
-            endpoint: life.name.to_string(),
-            born_ms: life.born_ms,
+        let ends = report.crashes.into_iter().map(|(incarnation, age_ms)| WireEnd {
+            endpoint: incarnation.name.to_string(),
+            born_ms: incarnation.started_unix_ms,
             age_ms,
         });
         Self {
@@ -50,13 +50,12 @@
 
 impl From<WireCrash> for CrashReport {
     fn from(wire: WireCrash) -> Self {
-        let ends = wire
-            .ends
-            .into_iter()
-            .map(|end| (Life { name: end.endpoint.into(), born_ms: end.born_ms }, end.age_ms));
+        let ends = wire.ends.into_iter().map(|end| {
+            (Incarnation { name: end.endpoint.into(), started_unix_ms: end.born_ms }, end.age_ms)
+        });
         Self {
             request: Fingerprint::from_bytes(wire.request),
-            ends: ends.collect(),
+            crashes: ends.collect(),
             is_served: wire.is_served,
         }
     }
--- a/crates/trestle-wire/src/departures.rs
+++ b/crates/trestle-wire/src/departures.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other of endpoints that left or are gone.
 
-use trestle_dispatch::{departures::Departure, endpoint::Life};
+use trestle_dispatch::{departures::Departure, endpoint::Incarnation};
 
 /// One start of an endpoint that left or is gone.
 #[trestle_macros::wire]
@@ -17,14 +17,19 @@
 
 impl From<Departure> for WireDeparture {
     fn from(departure: Departure) -> Self {
-        let Departure { life, has_left, last_number } = departure;
-        Self { endpoint: life.name.to_string(), born_ms: life.born_ms, has_left, last_number }
+        let Departure { incarnation, was_draining: has_left, last_number } = departure;
+        Self {
+            endpoint: incarnation.name.to_string(),
+            born_ms: incarnation.started_unix_ms,
+            has_left,
+            last_number,
+        }
     }
 }
 
 impl From<WireDeparture> for Departure {
     fn from(wire: WireDeparture) -> Self {
-        let life = Life { name: wire.endpoint.into(), born_ms: wire.born_ms };
-        Self { life, has_left: wire.has_left, last_number: wire.last_number }
+        let incarnation = Incarnation { name: wire.endpoint.into(), started_unix_ms: wire.born_ms };
+        Self { incarnation, was_draining: wire.has_left, last_number: wire.last_number }
     }
 }
--- a/crates/trestle-wire/src/lending.rs
+++ b/crates/trestle-wire/src/lending.rs
@@ -1,6 +1,6 @@
 //! What daemons ask of leaders for teams that have limits.
 
-use trestle_dispatch::lender::Loan;
+use trestle_dispatch::quota_allocator::Allocation;
 
 /// A question for a part of a team's limit.
 #[trestle_macros::wire]
@@ -31,12 +31,12 @@
     NotLending,
 }
 
-impl From<Loan> for WireLoan {
-    fn from(loan: Loan) -> Self {
+impl From<Allocation> for WireLoan {
+    fn from(loan: Allocation) -> Self {
         match loan {
-            Loan::Lent(units) => Self::Lent { units },
-            Loan::Refused { in_ms } => Self::Refused { in_ms },
-            Loan::NotLending => Self::NotLending,
+            Allocation::Lent(units) => Self::Lent { units },
+            Allocation::Refused { in_ms } => Self::Refused { in_ms },
+            Allocation::NotLending => Self::NotLending,
         }
     }
 }
--- a/crates/trestle-wire/src/places.rs
+++ b/crates/trestle-wire/src/places.rs
@@ -1,6 +1,6 @@
 //! What daemons ask of leaders for endpoints that have named limits.
 
-use trestle_dispatch::endpoint_limits::{LimitHeard, Place};
+use trestle_dispatch::endpoint_limits::{ObservedLimit, SendPermit};
 
 /// A question for a place at an endpoint: whether one request may be sent there.
 #[trestle_macros::wire]
@@ -42,23 +42,23 @@
 
 impl WirePlaceAsking {
     /// What the one who asks has heard of the limit, on the clock of the one who is asked.
-    pub fn heard(&self, now_ms: u64) -> LimitHeard {
-        LimitHeard {
+    pub fn heard(&self, now_ms: u64) -> ObservedLimit {
+        ObservedLimit {
             per_ks: self.per_ks,
-            heard_ms: now_ms.saturating_sub(self.heard_ago_ms),
-            silent: self.silent,
-            silent_ms: now_ms.saturating_sub(self.silent_ago_ms),
+            observed_ms: now_ms.saturating_sub(self.heard_ago_ms),
+            answers_without_limit: self.silent,
+            last_without_ms: now_ms.saturating_sub(self.silent_ago_ms),
         }
     }
 }
 
-impl From<Place> for WirePlace {
-    fn from(place: Place) -> Self {
+impl From<SendPermit> for WirePlace {
+    fn from(place: SendPermit) -> Self {
         match place {
-            Place::Lent => Self::Lent,
-            Place::Refused { in_ms } => Self::Refused { in_ms },
-            Place::Lifted => Self::Lifted,
-            Place::NotLending => Self::NotLending,
+            SendPermit::Lent => Self::Lent,
+            SendPermit::Refused { in_ms } => Self::Refused { in_ms },
+            SendPermit::Lifted => Self::Lifted,
+            SendPermit::NotLending => Self::NotLending,
         }
     }
 }
--- a/crates/trestle-wire/src/relay.rs
+++ b/crates/trestle-wire/src/relay.rs
@@ -3,10 +3,10 @@
 use crate::{departures::WireDeparture, placements::WirePosition};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 use trestle_dispatch::{
-    config_texts::{ConfigNews, PackedPiece},
+    compressed_text::CompressedText,
+    config_texts::{CompressedPiece, ConfigUpdate},
     endpoint::Endpoint,
-    listing::{ListedEntry, News},
-    packed::Packed,
+    listing::{ListUpdate, ListedEntry},
 };
 
 /// What a daemon already has of the store.
@@ -98,11 +98,11 @@
     pub entry_number: u64,
 }
 
-impl From<ConfigNews> for WireConfig {
-    fn from(news: ConfigNews) -> Self {
+impl From<ConfigUpdate> for WireConfig {
+    fn from(news: ConfigUpdate) -> Self {
         match news {
-            ConfigNews::Whole(text) => Self::Whole(text.as_bytes().to_vec()),
-            ConfigNews::Changes { from, pieces } => {
+            ConfigUpdate::Whole(text) => Self::Whole(text.as_bytes().to_vec()),
+            ConfigUpdate::Changes { from, pieces } => {
                 let pieces = pieces.iter().cloned().map(WirePiece::from).collect();
                 Self::Changes { from, pieces }
             }
@@ -110,38 +110,38 @@
     }
 }
 
-impl From<WireConfig> for ConfigNews {
+impl From<WireConfig> for ConfigUpdate {
     fn from(wire: WireConfig) -> Self {
         match wire {
-            WireConfig::Whole(text) => Self::Whole(Packed::from_bytes(text)),
+            WireConfig::Whole(text) => Self::Whole(CompressedText::from_bytes(text)),
             WireConfig::Changes { from, pieces } => {
-                let pieces = pieces.into_iter().map(PackedPiece::from).collect();
+                let pieces = pieces.into_iter().map(CompressedPiece::from).collect();
                 Self::Changes { from, pieces: Arc::new(pieces) }
             }
         }
     }
 }
 
-impl From<PackedPiece> for WirePiece {
-    fn from(piece: PackedPiece) -> Self {
+impl From<CompressedPiece> for WirePiece {
+    fn from(piece: CompressedPiece) -> Self {
         match piece {
-            PackedPiece::Kept(from, length) => Self::Kept(from, length),
-            PackedPiece::New(packed) => Self::New(packed.as_bytes().to_vec()),
+            CompressedPiece::Kept(from, length) => Self::Kept(from, length),
+            CompressedPiece::New(packed) => Self::New(packed.as_bytes().to_vec()),
         }
     }
 }
 
-impl From<WirePiece> for PackedPiece {
+impl From<WirePiece> for CompressedPiece {
     fn from(wire: WirePiece) -> Self {
         match wire {
             WirePiece::Kept(from, length) => Self::Kept(from, length),
-            WirePiece::New(bytes) => Self::New(Packed::from_bytes(bytes)),
+            WirePiece::New(bytes) => Self::New(CompressedText::from_bytes(bytes)),
         }
     }
 }
 
-impl From<News> for WireNews {
-    fn from(news: News) -> Self {
+impl From<ListUpdate> for WireNews {
+    fn from(news: ListUpdate) -> Self {
         let written = news.written.into_iter();
         let written = written.map(|entry| (WireEndpoint::from(entry.endpoint), entry.version));
         Self {
@@ -153,7 +153,7 @@
     }
 }
 
-impl From<WireNews> for News {
+impl From<WireNews> for ListUpdate {
     fn from(wire: WireNews) -> Self {
         let written = wire.written.into_iter().map(|(endpoint, version)| ListedEntry {
             key: endpoint.name.clone(),
@@ -173,12 +173,12 @@
     fn from(endpoint: Endpoint) -> Self {
         Self {
             name: endpoint.name.to_string(),
-            born_ms: endpoint.born_ms,
+            born_ms: endpoint.started_unix_ms,
             service: endpoint.service.to_string(),
             address: endpoint.address,
             domain: endpoint.domain.to_string(),
             slots: endpoint.slots,
-            is_leaving: endpoint.is_leaving,
+            is_leaving: endpoint.is_draining,
             entry_number: endpoint.entry_number,
         }
     }
@@ -188,12 +188,12 @@
     fn from(wire: WireEndpoint) -> Self {
         Self {
             name: wire.name.into(),
-            born_ms: wire.born_ms,
+            started_unix_ms: wire.born_ms,
             service: wire.service.into(),
             address: wire.address,
             domain: wire.domain.into(),
             slots: wire.slots,
-            is_leaving: wire.is_leaving,
+            is_draining: wire.is_leaving,
             entry_number: wire.entry_number,
             held: Default::default(),
             in_memory: Default::default(),
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -19,7 +19,7 @@
     loadable::Loadable,
     placement_log::PlacementMirror,
     rates::PastArrivals,
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
 };
 
 /// The service between daemons and the leader.
@@ -350,13 +350,13 @@
     pub fn into_view(self, placements: &PlacementMirror) -> ReplicaView {
         let engines = placements.engines().zip(self.running.iter().chain(iter::repeat(&0)));
         let engines = engines.map(|((name, holds), running)| {
-            (name.clone(), EngineNote { holds: holds.clone(), running: *running })
+            (name.clone(), EngineSummary { holds: holds.clone(), running: *running })
         });
         ReplicaView {
             engines: engines.collect(),
             ready_in_ms: self.ready_in_ms.into_iter().map(from_ready).collect(),
             daemons: self.daemons as usize,
-            askers: self.askers as usize,
+            leader_clients: self.askers as usize,
         }
     }
 }
