--- a/crates/trestle-dispatch/examples/plan_time.rs
+++ b/crates/trestle-dispatch/examples/plan_time.rs
@@ -10,11 +10,11 @@
 use trestle_core::names::{EndpointName, ModelName};
 use trestle_dispatch::{
     catalog::{EngineSpec, ModelSpec},
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     endpoint::Endpoint,
     policy::Policy,
     service_state::ServiceState,
-    sharing::{Foreign, Others},
+    sharing::{ForeignEngine, OtherLeaders},
 };
 
 const ENGINES: usize = 256;
@@ -69,7 +69,7 @@
     wishes: &[ModelName],
     engines: &[Endpoint],
     lots: &mut fastrand::Rng,
-) -> DemandDigest {
+) -> DemandReport {
     let waiting = wishes.iter().map(|model| Waiting {
         priority: 2,
         due_in_ms: 1_500,
@@ -86,7 +86,7 @@
         }
     }
     let arrivals = (0..2).map(|_| (model(lots), 1)).collect();
-    DemandDigest { number, arrivals, waiting, running, ..DemandDigest::default() }
+    DemandReport { number, arrivals, waiting, running, ..DemandReport::default() }
 }
 
 fn main() {
@@ -110,23 +110,23 @@
         }
         for (daemon, wishes) in wishes.iter().enumerate() {
             let digest = digest(number, wishes, &engines, &mut lots);
-            state.demand.told(format!("v{daemon}").into(), digest, now_ms);
+            state.demand.report_received(format!("v{daemon}").into(), digest, now_ms);
         }
         let foreign = engines.iter().filter(|engine| engine.domain.as_str() != "d0");
         let foreign = foreign.map(|endpoint| {
             let (holds, running) = (endpoint.held.clone(), 4);
             (
                 endpoint.name.clone(),
-                Foreign { endpoint: Arc::new(endpoint.clone()), holds, running },
+                ForeignEngine { endpoint: Arc::new(endpoint.clone()), holds, running },
             )
         });
         let foreign = foreign.collect();
-        state.sharing.update(Others {
+        state.sharing.update(OtherLeaders {
             led: ["d0".into()].into(),
             live: ["d1", "d2", "d3", "d4"].map(Into::into).into(),
             leaders: 4,
             engines: foreign,
-            ..Others::default()
+            ..OtherLeaders::default()
         });
         let began = Instant::now();
         let begun = state.plan(&spec, &policy, &own, 0, |_| true, now_ms);
--- a/crates/trestle-dispatch/src/admission.rs
+++ b/crates/trestle-dispatch/src/admission.rs
@@ -31,7 +31,7 @@
 /// What is known of when a model will be ready.
 #[trestle_macros::plain]
 #[derive(Copy)]
-pub enum Outlook {
+pub enum Forecast {
     /// The leader says that it will be.
     Ready {
         /// Time until then.
@@ -43,7 +43,7 @@
         for_ms: u64,
     },
     /// The leader has not yet been heard on it.
-    Unheard,
+    NotReported,
     /// There is no leader, or it cannot tell.
     Unknown,
 }
@@ -57,19 +57,19 @@
     /// Time from its arrival until its final answer is due.
     pub allowed_ms: u64,
     /// Time up to which its caller stays, from its arrival.
-    pub stays_ms: u64,
+    pub caller_timeout_ms: u64,
 }
 
 impl Wait {
     /// The wait of a request of a route.
     pub fn new(route: &Route, elapsed_ms: u64, allowed_ms: u64) -> Self {
-        Self { elapsed_ms, allowed_ms, stays_ms: caller_stays_ms(route, allowed_ms) }
+        Self { elapsed_ms, allowed_ms, caller_timeout_ms: caller_timeout_ms(route, allowed_ms) }
     }
 
     /// The same for callers that only wait for what is on time.
     pub fn within_objective(route: &Route, elapsed_ms: u64, allowed_ms: u64) -> Self {
-        let stays_ms = route.objective_ms.min(caller_stays_ms(route, allowed_ms));
-        Self { elapsed_ms, allowed_ms, stays_ms }
+        let stays_ms = route.objective_ms.min(caller_timeout_ms(route, allowed_ms));
+        Self { elapsed_ms, allowed_ms, caller_timeout_ms: stays_ms }
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// How long a caller stays without a first event, from its arrival.
-pub fn caller_stays_ms(route: &Route, deadline_ms: u64) -> u64 {
+pub fn caller_timeout_ms(route: &Route, deadline_ms: u64) -> u64 {
     if !route.is_stream() {
         return deadline_ms;
     }
@@ -131,24 +131,24 @@
 }
 
 /// Decides for a request that waits, given what is known of its model.
-pub fn decide(wait: Wait, outlook: Outlook) -> Admission {
-    let until_ms = wait.stays_ms.saturating_sub(FIRST_EVENT_MS);
+pub fn decide(wait: Wait, outlook: Forecast) -> Admission {
+    let until_ms = wait.caller_timeout_ms.saturating_sub(FIRST_EVENT_MS);
     let refuse = |ready_in_ms, reason| {
         let retry_after_ms = retry_after_ms(wait.elapsed_ms, wait.allowed_ms, ready_in_ms);
         Admission::Refuse { retry_after_ms, reason }
     };
     match outlook {
-        Outlook::Here { for_ms } if for_ms > DISAGREEMENT_MS => {
+        Forecast::Here { for_ms } if for_ms > DISAGREEMENT_MS => {
             refuse(Some(DISAGREEMENT_MS), Reason::Disagreement)
         }
-        Outlook::Here { .. } if wait.elapsed_ms < until_ms => Admission::Wait { until_ms },
-        Outlook::Here { .. } => refuse(Some(0), Reason::ReadyTooLate),
-        Outlook::Ready { in_ms } if wait.elapsed_ms + in_ms < until_ms => {
+        Forecast::Here { .. } if wait.elapsed_ms < until_ms => Admission::Wait { until_ms },
+        Forecast::Here { .. } => refuse(Some(0), Reason::ReadyTooLate),
+        Forecast::Ready { in_ms } if wait.elapsed_ms + in_ms < until_ms => {
             Admission::Wait { until_ms }
         }
-        Outlook::Ready { in_ms } => refuse(Some(in_ms), Reason::ReadyTooLate),
-        Outlook::Unheard if wait.elapsed_ms < until_ms => Admission::Wait { until_ms },
-        Outlook::Unheard | Outlook::Unknown => refuse(None, Reason::ReadyUnknown),
+        Forecast::Ready { in_ms } => refuse(Some(in_ms), Reason::ReadyTooLate),
+        Forecast::NotReported if wait.elapsed_ms < until_ms => Admission::Wait { until_ms },
+        Forecast::NotReported | Forecast::Unknown => refuse(None, Reason::ReadyUnknown),
     }
 }
 
--- a/crates/trestle-dispatch/src/asked.rs
+++ b/crates/trestle-dispatch/src/asked.rs
@@ -1,7 +1,7 @@
 //! What callers of one daemon ask of a service's engines, as it tells the leader.
 
 use crate::{
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     rates::Rates,
 };
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
 impl Asked {
     /// What is to be told now; arrivals are told once. A leader that has heard nothing yet
     /// is also told what is remembered.
-    pub fn digest(&mut self, is_first: bool, now_ms: u64) -> DemandDigest {
+    pub fn digest(&mut self, is_first: bool, now_ms: u64) -> DemandReport {
         self.number += 1;
         for wish in self.waiting.values_mut() {
             wish.told.get_or_insert(self.number);
@@ -73,10 +73,10 @@
         let running = self.running.iter();
         self.told_running =
             running.map(|(endpoint, models)| (endpoint.clone(), models.values().sum())).collect();
-        DemandDigest {
+        DemandReport {
             number: self.number,
             arrivals: std::mem::take(&mut self.arrivals),
-            past: is_first.then(|| self.rates.past(now_ms)),
+            past: is_first.then(|| self.rates.history(now_ms)),
             waiting: waiting.collect(),
             running: self.running.clone(),
             adapters_in_use: adapters_in_use
--- a/crates/trestle-dispatch/src/beliefs.rs
+++ b/crates/trestle-dispatch/src/beliefs.rs
@@ -178,7 +178,7 @@
     pub fn model_requested(&mut self, service: &ServiceName, model: &ModelName, now_ms: u64) {
         let asked = self.asked_of(service);
         *asked.arrivals.entry(model.clone()).or_default() += 1;
-        asked.rates.arrived(model, 1, now_ms);
+        asked.rates.record_arrivals(model, 1, now_ms);
     }
 
     /// Notes that a request was sent to an endpoint.
--- a/crates/trestle-dispatch/src/candidate.rs
+++ b/crates/trestle-dispatch/src/candidate.rs
@@ -40,13 +40,13 @@
     /// ready at about the same moment, when the first configuration comes, long after they
     /// have found the lease free. Counted from then, every wait was over, and the first to be
     /// ready led 295 daemons from an eighth of a core.
-    pub fn takes_from_ms(self, free_from_ms: u64, last: Option<&LeaseRow>) -> u64 {
-        free_from_ms.max(self.ready_since_ms) + self.others_first_ms(last)
+    pub fn may_acquire_from_ms(self, free_from_ms: u64, last: Option<&LeaseRow>) -> u64 {
+        free_from_ms.max(self.ready_since_ms) + self.takeover_delay_ms(last)
     }
 
     /// Time for which it leaves a lease to others that was free until now, given the row of
     /// its last holder.
-    pub fn others_first_ms(self, last: Option<&LeaseRow>) -> u64 {
+    pub fn takeover_delay_ms(self, last: Option<&LeaseRow>) -> u64 {
         let Some(last) = last else {
             let wait_ms = FIRST_WAIT_MS * 1_000 / u64::from(self.millicores.max(1));
             return wait_ms.min(MOST_FIRST_WAIT_MS);
--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -20,7 +20,7 @@
 
 /// What a request needs.
 #[derive(Debug, Clone, Copy)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model, where the service is one of engines.
@@ -35,9 +35,9 @@
 
 /// What is known when the choice is made.
 #[derive(Debug, Clone, Copy)]
-pub struct Known<'a> {
+pub struct ChoiceInputs<'a> {
     /// What this daemon believes.
-    pub beliefs: &'a Beliefs,
+    pub local_view: &'a Beliefs,
     /// What the leader says of the service.
     pub replicas: &'a ReplicaView,
     /// Time on the monotonic clock.
@@ -60,7 +60,7 @@
 
 /// An endpoint that could run a request if it had not asked for less.
 #[trestle_macros::plain]
-pub struct HeldBack {
+pub struct Throttled {
     /// The endpoint.
     pub life: Life,
     /// Time until it takes the next request.
@@ -74,8 +74,12 @@
 /// Endpoints that have named a limit are taken only if there is no other, but for a trial now and
 /// then; those that failed lately only if there is none of these either. The lot must differ from
 /// request to request and from daemon to daemon.
-pub fn choose<'a>(known: Known<'a>, need: Need<'_>, lot: u64) -> Option<&'a Endpoint> {
-    let directory = &known.beliefs.directory;
+pub fn choose<'a>(
+    known: ChoiceInputs<'a>,
+    need: Requirements<'_>,
+    lot: u64,
+) -> Option<&'a Endpoint> {
+    let directory = &known.local_view.directory;
     let able = directory.iter().filter(|endpoint| is_able(&known, &need, endpoint));
     let (mut sound, mut limited, mut avoided) = (Vec::new(), Vec::new(), Vec::new());
     for endpoint in able {
@@ -89,7 +93,7 @@
     }
     let mut picked =
         [sound, limited, avoided].into_iter().find(|some| !some.is_empty()).unwrap_or_default();
-    let policy = &known.beliefs.policy;
+    let policy = &known.local_view.policy;
     if policy.has(Mechanism::TwoChoices) {
         picked.sort_by_key(|endpoint| mix(lot, &endpoint.name));
         picked.truncate(PICKED);
@@ -98,52 +102,52 @@
 }
 
 /// Whether some endpoint has what a request needs, though it may be full or set aside now.
-pub fn is_here(known: Known<'_>, need: Need<'_>) -> bool {
+pub fn is_loaded(known: ChoiceInputs<'_>, need: Requirements<'_>) -> bool {
     let Some(model) = need.model else { return false };
-    let mut usable = known.beliefs.directory.usable(need.service);
+    let mut usable = known.local_view.directory.usable(need.service);
     usable.any(|endpoint| known.replicas.can_run(endpoint, model, need.adapter))
 }
 
 /// Whether there is an endpoint for a request that did not fail lately and has asked for nothing.
-pub fn has_sound(known: Known<'_>, need: Need<'_>) -> bool {
-    let directory = &known.beliefs.directory;
+pub fn has_healthy(known: ChoiceInputs<'_>, need: Requirements<'_>) -> bool {
+    let directory = &known.local_view.directory;
     let mut able = directory.iter().filter(|endpoint| is_able(&known, &need, endpoint));
     able.any(|endpoint| is_sound(&known, endpoint) && standing(&known, endpoint) == Standing::Open)
 }
 
 /// The endpoint that takes a request soonest, if every one that could run it has asked for less.
-pub fn held_back(known: Known<'_>, need: Need<'_>) -> Option<HeldBack> {
-    if known.beliefs.backpressure.is_empty() {
+pub fn throttled(known: ChoiceInputs<'_>, need: Requirements<'_>) -> Option<Throttled> {
+    if known.local_view.backpressure.is_empty() {
         return None;
     }
-    let directory = &known.beliefs.directory;
-    let mut soonest: Option<HeldBack> = None;
+    let directory = &known.local_view.directory;
+    let mut soonest: Option<Throttled> = None;
     for endpoint in directory.iter().filter(|endpoint| is_able(&known, &need, endpoint)) {
         let Standing::Closed { for_ms } = standing(&known, endpoint) else { return None };
         if soonest.as_ref().is_none_or(|soonest| for_ms < soonest.for_ms) {
             let life = endpoint.life();
-            let is_limited = known.beliefs.backpressure.limit(&life).is_some();
-            soonest = Some(HeldBack { life, for_ms, is_limited });
+            let is_limited = known.local_view.backpressure.limit(&life).is_some();
+            soonest = Some(Throttled { life, for_ms, is_limited });
         }
     }
     soonest
 }
 
 /// Whether a request may be sent to a life of an endpoint at which it has a place.
-pub fn is_open_with_place(known: Known<'_>, need: Need<'_>, life: &Life) -> bool {
-    let endpoint = known.beliefs.directory.get(&life.name);
+pub fn accepts_with_permit(known: ChoiceInputs<'_>, need: Requirements<'_>, life: &Life) -> bool {
+    let endpoint = known.local_view.directory.get(&life.name);
     let endpoint = endpoint.filter(|endpoint| endpoint.born_ms == life.born_ms);
-    let rests = known.beliefs.backpressure.rests_for_ms(life, known.now_ms).is_some();
+    let rests = known.local_view.backpressure.rests_for_ms(life, known.now_ms).is_some();
     !rests && endpoint.is_some_and(|endpoint| is_able(&known, &need, endpoint))
 }
 
-fn standing(known: &Known<'_>, endpoint: &Endpoint) -> Standing {
-    let backpressure = &known.beliefs.backpressure;
+fn standing(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> Standing {
+    let backpressure = &known.local_view.backpressure;
     if backpressure.is_empty() {
         return Standing::Open;
     }
     let life = endpoint.life();
-    let in_flight = known.beliefs.records.of(&endpoint.name).in_flight;
+    let in_flight = known.local_view.records.of(&endpoint.name).in_flight;
     let by_rest_ms = backpressure.rest_closed_for_ms(&life, in_flight, known.now_ms);
     let by_limit_ms = backpressure.closed_for_ms(&life, known.now_ms);
     match by_rest_ms.max(by_limit_ms) {
@@ -154,16 +158,16 @@
 }
 
 /// Whether a request should try an endpoint with a limit though another could take it.
-fn is_trial_due(known: &Known<'_>, endpoint: &Endpoint) -> bool {
-    let Known { beliefs, now_ms, .. } = known;
+fn is_trial_due(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
+    let ChoiceInputs { local_view: beliefs, now_ms, .. } = known;
     beliefs.backpressure.is_trial_due(&endpoint.life(), beliefs.daemons, *now_ms)
 }
 
-fn is_sound(known: &Known<'_>, endpoint: &Endpoint) -> bool {
-    !known.beliefs.records.of(&endpoint.name).health.is_avoided(known.now_ms)
+fn is_sound(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
+    !known.local_view.records.of(&endpoint.name).health.is_avoided(known.now_ms)
 }
 
-fn is_able(known: &Known<'_>, need: &Need<'_>, endpoint: &Endpoint) -> bool {
+fn is_able(known: &ChoiceInputs<'_>, need: &Requirements<'_>, endpoint: &Endpoint) -> bool {
     let is_listed = endpoint.service == *need.service && !endpoint.is_leaving;
     is_listed
         && !need.excluded.contains(&endpoint.name)
@@ -173,22 +177,22 @@
 
 /// Whether a model, and one of its adapters, is at an endpoint.
 fn has(
-    known: &Known<'_>,
+    known: &ChoiceInputs<'_>,
     endpoint: &Endpoint,
     model: &ModelName,
     adapter: Option<&AdapterName>,
 ) -> bool {
     known.replicas.can_run(endpoint, model, adapter)
-        && !known.beliefs.records.is_absent(&endpoint.name, model, adapter, known.now_ms)
+        && !known.local_view.records.is_absent(&endpoint.name, model, adapter, known.now_ms)
 }
 
 /// How loaded an endpoint is, as a share of its slots, and how often it fails. The share
 /// of failures is squared: a failure now and then moves no load, and an endpoint that
 /// fails half of its requests counts like one that is a quarter full.
-fn cost(known: &Known<'_>, endpoint: &Endpoint) -> f64 {
-    let record = known.beliefs.records.of(&endpoint.name);
-    let running = known.beliefs.running(endpoint);
-    let crossing = if endpoint.domain == known.beliefs.domain { 0.0 } else { CROSSING_SHARE };
+fn cost(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> f64 {
+    let record = known.local_view.records.of(&endpoint.name);
+    let running = known.local_view.running(endpoint);
+    let crossing = if endpoint.domain == known.local_view.domain { 0.0 } else { CROSSING_SHARE };
     let fill = f64::from(running) / f64::from(endpoint.slots.max(1));
     fill + crossing + record.failed_share(known.now_ms).powi(2)
 }
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -29,7 +29,7 @@
 /// What one daemon tells of one service.
 #[trestle_macros::plain]
 #[derive(Default)]
-pub struct DemandDigest {
+pub struct DemandReport {
     /// Number of the digest; each daemon counts its own.
     pub number: u64,
     /// Requests that arrived since the last digest.
@@ -63,7 +63,7 @@
 
 /// What a want counts for.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct AggregateDemand<'a> {
     /// The model.
     pub model: &'a ModelName,
     /// The adapter, if it is one that is missing.
@@ -78,7 +78,7 @@
     pub value: f64,
 }
 
-impl<'a> Want<'a> {
+impl<'a> AggregateDemand<'a> {
     fn nothing_of(waiting: &'a Waiting) -> Self {
         Self {
             model: &waiting.model,
@@ -152,19 +152,19 @@
     has_remembered: bool,
     /// Number of its last digest that a plan has looked at.
     planned: u64,
-    digest: DemandDigest,
+    digest: DemandReport,
 }
 
 impl Demand {
     /// Takes what a daemon tells.
-    pub fn told(&mut self, daemon: VmName, digest: DemandDigest, now_ms: u64) {
+    pub fn report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
         let has_remembered = self.has_remembered(&daemon);
         note_arrivals(&mut self.own_rates, &digest, has_remembered, now_ms);
         self.take(daemon, digest, false, now_ms);
     }
 
     /// Takes what another leader tells of its daemons.
-    pub fn told_by_leader(&mut self, daemon: VmName, digest: DemandDigest, now_ms: u64) {
+    pub fn leader_report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
         self.take(daemon, digest, true, now_ms);
     }
 
@@ -172,7 +172,7 @@
         self.daemons.get(daemon).is_some_and(|told| told.has_remembered)
     }
 
-    fn take(&mut self, daemon: VmName, digest: DemandDigest, is_leader: bool, now_ms: u64) {
+    fn take(&mut self, daemon: VmName, digest: DemandReport, is_leader: bool, now_ms: u64) {
         let before = self.has_remembered(&daemon);
         note_arrivals(&mut self.rates, &digest, before, now_ms);
         let has_remembered = before || digest.past.is_some();
@@ -191,7 +191,7 @@
 
     /// Notes that a plan looks at all that was told, where engines hold these models. What a
     /// daemon told counts as planned once everybody who sees to its wishes has planned.
-    pub fn note_plan(
+    pub fn record_plan(
         &mut self,
         held: &BTreeSet<ModelName>,
         is_planned: impl Fn(&Loadable) -> bool,
@@ -205,7 +205,7 @@
         }
         self.note_peaks(now_ms);
         let wanted: BTreeSet<ModelName> =
-            self.wants(now_ms).into_iter().map(|want| want.model.clone()).collect();
+            self.aggregate(now_ms).into_iter().map(|want| want.model.clone()).collect();
         self.missing_since_ms.retain(|model, _| wanted.contains(model) && !held.contains(model));
         for model in wanted.into_iter().filter(|model| !held.contains(model)) {
             self.missing_since_ms.entry(model).or_insert(now_ms);
@@ -263,24 +263,28 @@
     }
 
     /// Everything that waits, added up over all daemons, the most urgent first.
-    pub fn wants(&self, now_ms: u64) -> Vec<Want<'_>> {
-        self.wants_of(now_ms, |_| true)
+    pub fn aggregate(&self, now_ms: u64) -> Vec<AggregateDemand<'_>> {
+        self.aggregate_where(now_ms, |_| true)
     }
 
     /// The same, of what daemons themselves tell only models that pass; what another leader
     /// tells, it asks for here.
-    pub fn wants_of(&self, now_ms: u64, is_here: impl Fn(&Loadable) -> bool) -> Vec<Want<'_>> {
-        let mut wants: BTreeMap<_, Want<'_>> = BTreeMap::new();
+    pub fn aggregate_where(
+        &self,
+        now_ms: u64,
+        is_here: impl Fn(&Loadable) -> bool,
+    ) -> Vec<AggregateDemand<'_>> {
+        let mut wants: BTreeMap<_, AggregateDemand<'_>> = BTreeMap::new();
         let told = self.live_told(now_ms);
         let waiting = told.flat_map(|told| told.digest.waiting.iter().map(|w| (told.is_leader, w)));
         let waiting = waiting.filter(|(from_leader, w)| *from_leader || is_here(&w.loadable()));
         for (_, waiting) in waiting {
             let want = wants
                 .entry((&waiting.model, waiting.adapter.as_ref()))
-                .or_insert_with(|| Want::nothing_of(waiting));
+                .or_insert_with(|| AggregateDemand::nothing_of(waiting));
             want.add(waiting);
         }
-        let mut wants: Vec<Want<'_>> = wants.into_values().collect();
+        let mut wants: Vec<AggregateDemand<'_>> = wants.into_values().collect();
         wants.sort_by_key(|want| (want.priority, want.due_in_ms));
         wants
     }
@@ -325,13 +329,13 @@
 
     /// What another leader is told: of what daemons themselves tell, that which is about its
     /// engines or about wishes that it sees to.
-    pub fn digest_for(
+    pub fn report_for(
         &self,
         is_its_engine: impl Fn(&EndpointName) -> bool,
         is_its_wish: impl Fn(&Loadable) -> bool,
         now_ms: u64,
-    ) -> DemandDigest {
-        let mut digest = DemandDigest::default();
+    ) -> DemandReport {
+        let mut digest = DemandReport::default();
         let mut waiting: BTreeMap<(ModelName, Option<AdapterName>), Waiting> = BTreeMap::new();
         for told in self.live_own(now_ms) {
             for wish in told.waiting.iter().filter(|wish| is_its_wish(&wish.loadable())) {
@@ -364,15 +368,15 @@
     }
 
     /// What daemons themselves have asked for until now, for a leader that has not heard of it.
-    pub fn own_past(&self, now_ms: u64) -> Vec<PastArrivals> {
-        self.own_rates.past(now_ms)
+    pub fn own_history(&self, now_ms: u64) -> Vec<PastArrivals> {
+        self.own_rates.history(now_ms)
     }
 
-    fn live(&self, now_ms: u64) -> impl Iterator<Item = &DemandDigest> {
+    fn live(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
         self.live_told(now_ms).map(|told| &told.digest)
     }
 
-    fn live_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandDigest> {
+    fn live_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
         self.live_told(now_ms).filter(|told| !told.is_leader).map(|told| &told.digest)
     }
 
@@ -395,12 +399,12 @@
 }
 
 /// Notes what arrived, or all that did until now where that was not told before.
-fn note_arrivals(rates: &mut Rates, digest: &DemandDigest, has_remembered: bool, now_ms: u64) {
+fn note_arrivals(rates: &mut Rates, digest: &DemandReport, has_remembered: bool, now_ms: u64) {
     match &digest.past {
-        Some(past) if !has_remembered => rates.remembered(past, now_ms),
+        Some(past) if !has_remembered => rates.add_history(past, now_ms),
         _ => {
             for (model, count) in &digest.arrivals {
-                rates.arrived(model, *count, now_ms);
+                rates.record_arrivals(model, *count, now_ms);
             }
         }
     }
--- a/crates/trestle-dispatch/src/groups.rs
+++ b/crates/trestle-dispatch/src/groups.rs
@@ -47,7 +47,7 @@
 
 impl Groups {
     /// No engines are known yet, of these failure domains.
-    pub fn among(configured: BTreeSet<DomainName>) -> Self {
+    pub fn with_domains(configured: BTreeSet<DomainName>) -> Self {
         Self { configured, ..Self::default() }
     }
 
@@ -70,14 +70,14 @@
 
     /// How many groups there may be, with a leader each: every failure domain may have engines,
     /// and the lease of one whose engines are gone from the list may still be held.
-    pub fn most(&self) -> usize {
+    pub fn max_groups(&self) -> usize {
         self.ever.union(&self.configured).count()
     }
 
     /// The group whose leader the daemons of a failure domain ask. Before engines are known it
     /// is the first domain's for all, as it will be where they are few: a leader also passes on
     /// what the store says.
-    pub fn home<'a>(&'a self, domain: &'a DomainName) -> &'a DomainName {
+    pub fn home_group<'a>(&'a self, domain: &'a DomainName) -> &'a DomainName {
         let Some(first) = self.all.first() else {
             return self.configured.first().unwrap_or(domain);
         };
@@ -92,14 +92,14 @@
 
     /// Time that a daemon leaves a group's free lease to others, beyond what stronger ones get;
     /// `None` if it does not take it now.
-    pub fn others_first_ms(
+    pub fn takeover_delay_ms(
         &self,
         group: &DomainName,
         domain: &DomainName,
         led: &BTreeSet<DomainName>,
         now_ms: u64,
     ) -> Option<u64> {
-        let home = self.home(domain);
+        let home = self.home_group(domain);
         let busy_ms = LED_GROUP_MS * led.len() as u64;
         match (group == home, self.is_shared_out) {
             (true, true) => Some(busy_ms),
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -27,7 +27,7 @@
     /// Between the last order of one machine and the first of another.
     pub quiet_ms: u64,
     /// For which an order may be on its way.
-    pub flight_ms: u64,
+    pub in_flight_ms: u64,
 }
 
 /// Added where one machine waits for another's time to pass, for differences in
@@ -126,7 +126,7 @@
 #[trestle_macros::plain]
 pub struct Identity {
     /// The machine, by a name and address that no other has.
-    pub machine: String,
+    pub vm: String,
     /// Where the daemon answers others.
     pub address: SocketAddr,
     /// Processor of the machine, in thousandths of a core.
@@ -209,7 +209,7 @@
                 let heard_ms = self.heard_of(&seen).map_or(0, |heard| heard.settled_ms);
                 self.settled_ms = self.settled_ms.max(self.quiet_until_ms).max(heard_ms);
                 if other.as_ref().is_some_and(|row| self.is_same_machine(row)) {
-                    let quiet_ms = self.timing.flight_ms + self.timing.quiet_ms + MARGIN_MS;
+                    let quiet_ms = self.timing.in_flight_ms + self.timing.quiet_ms + MARGIN_MS;
                     self.unknown_until_ms = now_ms + quiet_ms;
                 }
                 let has_begun = self.settled_ms <= now_ms;
@@ -222,7 +222,13 @@
 
     /// Takes the outcome of a write that was sent at `sent_ms`: the version it got, if it
     /// is known to have taken effect.
-    pub fn written(&mut self, write: LeaseWrite, version: Option<u64>, sent_ms: u64, now_ms: u64) {
+    pub fn write_finished(
+        &mut self,
+        write: LeaseWrite,
+        version: Option<u64>,
+        sent_ms: u64,
+        now_ms: u64,
+    ) {
         self.is_writing = false;
         let Some(version) = version else {
             self.next_write_ms = now_ms + RETRY_MS;
@@ -301,7 +307,7 @@
     }
 
     /// Takes what a holder says that has stepped down.
-    pub fn heard(&mut self, resignation: Resignation, now_ms: u64) {
+    pub fn resignation_received(&mut self, resignation: Resignation, now_ms: u64) {
         if self.heard.is_some_and(|heard| heard.token >= resignation.token) {
             return;
         }
@@ -319,19 +325,19 @@
     }
 
     /// Gives the lease up with the next write, and takes it no more.
-    pub fn leave(&mut self) {
+    pub fn release(&mut self) {
         self.is_leaving = true;
         self.next_write_ms = 0;
     }
 
     /// Whether nothing is left to write before the daemon may end.
-    pub fn has_left(&self) -> bool {
+    pub fn is_release_done(&self) -> bool {
         let row = self.seen.as_ref().and_then(|seen| seen.row.as_ref());
         self.is_leaving && !row.is_some_and(|row| self.is_mine(row) && !row.is_released)
     }
 
     fn is_mine(&self, row: &LeaseRow) -> bool {
-        row.holder == self.me.machine && row.incarnation == self.me.incarnation
+        row.holder == self.me.vm && row.incarnation == self.me.incarnation
     }
 
     fn has_resigned(&self, row: &LeaseRow) -> bool {
@@ -345,12 +351,12 @@
     }
 
     fn is_same_machine(&self, row: &LeaseRow) -> bool {
-        row.holder == self.me.machine
+        row.holder == self.me.vm
     }
 
     fn first_row(&self, token: u64, has_begun: bool) -> LeaseRow {
         LeaseRow {
-            holder: self.me.machine.clone(),
+            holder: self.me.vm.clone(),
             address: self.me.address,
             millicores: self.me.millicores,
             incarnation: self.me.incarnation,
--- a/crates/trestle-dispatch/src/member_count.rs
+++ b/crates/trestle-dispatch/src/member_count.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes that a daemon has told something.
-    pub fn told(&mut self, daemon: VmName, now_ms: u64) {
+    pub fn report_received(&mut self, daemon: VmName, now_ms: u64) {
         self.told_ms.insert(daemon, now_ms);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Daemons that ask now, complete or not.
-    pub fn asking(&self) -> usize {
+    pub fn current(&self) -> usize {
         self.told_ms.len()
     }
 }
--- a/crates/trestle-dispatch/src/learnt.rs
+++ b/crates/trestle-dispatch/src/observed_times.rs
@@ -12,19 +12,19 @@
 
 /// Times that the leader learns.
 #[derive(Debug, Clone)]
-pub struct LearntTimes {
+pub struct ObservedTimes {
     run_wait_ms: MovingAverage,
 }
 
-impl Default for LearntTimes {
+impl Default for ObservedTimes {
     fn default() -> Self {
         Self { run_wait_ms: MovingAverage::new(NEWEST_WEIGHT) }
     }
 }
 
-impl LearntTimes {
+impl ObservedTimes {
     /// Notes how long an unload has waited for requests that ran.
-    pub fn run_waited(&mut self, waited_ms: u64) {
+    pub fn record_run_wait(&mut self, waited_ms: u64) {
         self.run_wait_ms.note(waited_ms as f64);
     }
 
--- a/crates/trestle-dispatch/src/order_log.rs
+++ b/crates/trestle-dispatch/src/order_log.rs
@@ -31,7 +31,11 @@
     }
 
     /// Takes for how long each engine must be left alone, as a leader that stepped down says.
-    pub fn heard(&mut self, quiet_for_ms: &BTreeMap<EndpointName, u64>, now_ms: u64) {
+    pub fn quiet_times_received(
+        &mut self,
+        quiet_for_ms: &BTreeMap<EndpointName, u64>,
+        now_ms: u64,
+    ) {
         for (endpoint, quiet_ms) in quiet_for_ms {
             let until_ms = self.others_until_ms.entry(endpoint.clone()).or_default();
             *until_ms = (*until_ms).max(now_ms + quiet_ms);
--- a/crates/trestle-dispatch/src/orders.rs
+++ b/crates/trestle-dispatch/src/orders.rs
@@ -72,7 +72,7 @@
 
 /// What to do next.
 #[trestle_macros::plain]
-pub enum Next {
+pub enum NextStep {
     /// Send this order, expecting this count.
     Send(Order, u64),
     /// Ask the engine for its report.
@@ -159,14 +159,14 @@
     }
 
     /// What to do, and not before when.
-    pub fn next(&self) -> (Next, u64) {
+    pub fn next(&self) -> (NextStep, u64) {
         let step = if self.is_settling { self.at.checked_sub(1) } else { Some(self.at) };
         let step = step.and_then(|at| self.steps.get(at));
         let next = match (self.failure, step) {
-            (Some(failure), _) => Next::Failed(failure),
-            (None, _) if !self.is_counted => Next::Report,
-            (None, None) => Next::Done,
-            (None, Some(step)) => Next::Send(step.clone(), self.order_count),
+            (Some(failure), _) => NextStep::Failed(failure),
+            (None, _) if !self.is_counted => NextStep::Report,
+            (None, None) => NextStep::Done,
+            (None, Some(step)) => NextStep::Send(step.clone(), self.order_count),
         };
         (next, self.not_before_ms)
     }
@@ -241,7 +241,7 @@
 
     /// Whether everything is in place.
     pub fn is_done(&self) -> bool {
-        self.next().0 == Next::Done
+        self.next().0 == NextStep::Done
     }
 
     fn accepted(&mut self, now_ms: u64) {
--- a/crates/trestle-dispatch/src/placement_log.rs
+++ b/crates/trestle-dispatch/src/placement_log.rs
@@ -251,7 +251,7 @@
     }
 
     /// What engines have become able to run since a change, as far as that is kept.
-    pub fn arrived_since(&self, sequence: u64) -> BTreeSet<Loadable> {
+    pub fn loaded_since(&self, sequence: u64) -> BTreeSet<Loadable> {
         let kept_since = self.sequence - self.changes.len() as u64;
         let from = sequence.clamp(kept_since, self.sequence) - kept_since;
         let name = |number| self.numbers.name(number).cloned();
@@ -301,7 +301,7 @@
 
     /// Takes what it lacks. A delta that does not follow on what it has, as one that was
     /// overtaken by another, is left out; the next one then tells everything.
-    pub fn take(&mut self, delta: PlacementDelta) {
+    pub fn apply_delta(&mut self, delta: PlacementDelta) {
         if delta.is_whole {
             *self = Self { log: delta.log, ..Self::default() };
         }
--- a/crates/trestle-dispatch/src/placing.rs
+++ b/crates/trestle-dispatch/src/placing.rs
@@ -11,18 +11,18 @@
 
 mod adapters;
 mod eviction;
-mod far;
-mod worth;
+mod remote;
+mod value;
 
 use crate::{
     catalog::{EngineSpec, ModelSpec},
     change::Change,
-    demand::{Demand, Want},
+    demand::{AggregateDemand, Demand},
     endpoint::{Endpoint, Held},
-    learnt::LearntTimes,
     loadable::Loadable,
+    observed_times::ObservedTimes,
     policy::{Mechanism, Policy},
-    sharing::{Host, Sharing},
+    sharing::{EngineView, Sharing},
     usage::Usage,
 };
 use eviction::Leavers;
@@ -87,7 +87,7 @@
     /// What is asked for.
     pub demand: &'a Demand,
     /// Times that were observed.
-    pub learnt: &'a LearntTimes,
+    pub observed_times: &'a ObservedTimes,
     /// What decides.
     pub policy: &'a Policy,
     /// What other leaders see to.
@@ -101,7 +101,7 @@
 pub struct Planner<'a> {
     spec: &'a EngineSpec,
     demand: &'a Demand,
-    learnt: &'a LearntTimes,
+    observed_times: &'a ObservedTimes,
     policy: &'a Policy,
     sharing: &'a Sharing,
     usage: Usage<'a>,
@@ -130,7 +130,7 @@
 impl<'a> Planner<'a> {
     /// Planning for one service.
     pub fn new(inputs: PlanInputs<'a>, engines: impl IntoIterator<Item = EngineState<'a>>) -> Self {
-        let PlanInputs { spec, demand, learnt, policy, sharing, now_ms } = inputs;
+        let PlanInputs { spec, demand, observed_times: learnt, policy, sharing, now_ms } = inputs;
         let engines: BTreeMap<_, _> =
             engines.into_iter().map(|state| (&state.endpoint.name, state)).collect();
         let staying = || {
@@ -147,7 +147,7 @@
         Self {
             spec,
             demand,
-            learnt,
+            observed_times: learnt,
             policy,
             sharing,
             usage: demand.usage(now_ms),
@@ -167,12 +167,12 @@
 
     /// Plans.
     pub fn plan(mut self) -> Plan {
-        let wants = self.demand.wants(self.now_ms);
+        let wants = self.demand.aggregate(self.now_ms);
         self.waited_for = wants.iter().map(|want| want.model).collect();
         let adapters = wants.iter().filter_map(|want| Some((want.model, want.adapter?)));
         self.wanted_adapters = adapters.collect();
         let sharing = self.sharing;
-        let here = self.demand.wants_of(self.now_ms, |wish| sharing.is_here(wish));
+        let here = self.demand.aggregate_where(self.now_ms, |wish| sharing.is_assigned_here(wish));
         let mut far = Vec::new();
         for want in &here {
             match want.adapter {
@@ -189,7 +189,7 @@
     }
 
     /// Sees to a model that somebody waits for; returns whether that was possible.
-    fn want_model(&mut self, want: &Want<'a>, reach: Reach) -> bool {
+    fn want_model(&mut self, want: &AggregateDemand<'a>, reach: Reach) -> bool {
         let model = want.model;
         if self.plan.ready_in_ms.contains_key(&Loadable::model(model)) {
             return true;
@@ -208,7 +208,7 @@
     }
 
     /// Notes when a model will be ready, and the adapter that is wanted with it.
-    fn note_ready(&mut self, want: &Want<'_>, ready_in_ms: u64) {
+    fn note_ready(&mut self, want: &AggregateDemand<'_>, ready_in_ms: u64) {
         self.plan.ready_in_ms.insert(Loadable::model(want.model), ready_in_ms);
         if let Some(adapter) = want.adapter {
             let with_adapter = Loadable::new(want.model, Some(adapter));
@@ -317,7 +317,7 @@
         let unload_ms = if eviction.models.is_empty() { 0 } else { UNLOAD_MS };
         let ready_in_ms = busy_ms + unload_ms + eviction.run_wait_ms as u64 + load_ms;
         let fill = f64::from(self.usage.at(&endpoint.name)) / f64::from(self.spec.slots.max(1));
-        let late_ms = gain_ms * worth::late_share(fill);
+        let late_ms = gain_ms * value::late_share(fill);
         let cost_ms = ready_in_ms as f64 + eviction.miss_ms + fill * FULL_ENGINE_MS + late_ms;
         let change = Change {
             endpoint: endpoint.name.clone(),
@@ -356,7 +356,7 @@
         let there = self.replicas.iter().filter(|(_, count)| **count > 0);
         let there = there.filter(|(model, _)| self.may_gain(model));
         let gains = there.map(|(model, _)| {
-            let gain_ms = self.gain_of_further_ms(model) - worth::SWAP_MS;
+            let gain_ms = self.gain_of_further_ms(model) - value::SWAP_MS;
             (gain_ms, model)
         });
         let mut gains: Vec<_> = gains.filter(|(gain_ms, _)| *gain_ms > 0.0).collect();
@@ -383,12 +383,12 @@
             return true;
         }
         let Some(spec) = self.spec.models.get(model) else { return false };
-        let own = self.engines.values().map(|state| Host {
+        let own = self.engines.values().map(|state| EngineView {
             endpoint: state.endpoint,
             holds: state.held,
             running: self.usage.at(&state.endpoint.name),
         });
-        let own: Vec<Host<'_>> = own.collect();
+        let own: Vec<EngineView<'_>> = own.collect();
         self.sharing.is_next_here(model, spec, &own)
     }
 }
--- a/crates/trestle-dispatch/src/placing/adapters.rs
+++ b/crates/trestle-dispatch/src/placing/adapters.rs
@@ -105,7 +105,7 @@
             match change {
                 Some(change) => change.left_ms(self.now_ms),
                 // All of its adapters are in use.
-                None => self.learnt.run_wait_ms(self.policy) as u64,
+                None => self.observed_times.run_wait_ms(self.policy) as u64,
             }
         });
         if let Some(free_in_ms) = free_in_ms.min() {
--- a/crates/trestle-dispatch/src/placing/eviction.rs
+++ b/crates/trestle-dispatch/src/placing/eviction.rs
@@ -92,7 +92,8 @@
             return None;
         }
         let running = self.usage.of_model_at(&state.endpoint.name, model);
-        let run_wait_ms = if running > 0 { self.learnt.run_wait_ms(self.policy) } else { 0.0 };
+        let run_wait_ms =
+            if running > 0 { self.observed_times.run_wait_ms(self.policy) } else { 0.0 };
         Some((self.loss_of_one_ms(model), run_wait_ms))
     }
 
--- a/crates/trestle-dispatch/src/placing/far.rs
+++ b/crates/trestle-dispatch/src/placing/remote.rs
@@ -7,7 +7,7 @@
 //! that must wait for their turn are told the time that this takes.
 
 use super::{Planner, Reach, UNLOAD_MS};
-use crate::{demand::Want, policy::Mechanism};
+use crate::{demand::AggregateDemand, policy::Mechanism};
 use std::{cmp::Reverse, collections::BinaryHeap};
 use trestle_core::names::ModelName;
 
@@ -35,11 +35,11 @@
     }
 
     /// Sees to models that can only come from the weight store.
-    pub(super) fn want_far(&mut self, mut far: Vec<&Want<'a>>) {
+    pub(super) fn want_far(&mut self, mut far: Vec<&AggregateDemand<'a>>) {
         if self.policy.has(Mechanism::FarLoadsByValue) {
             far.sort_by(|one, other| self.far_value(other).total_cmp(&self.far_value(one)));
         }
-        let (blocked, mut far): (Vec<&Want<'a>>, Vec<&Want<'a>>) =
+        let (blocked, mut far): (Vec<&AggregateDemand<'a>>, Vec<&AggregateDemand<'a>>) =
             far.into_iter().partition(|want| self.is_only_blocked(want));
         far.retain(|want| !self.want_model(want, Reach::Far));
         self.note_turns(&far);
@@ -52,7 +52,7 @@
     /// Whether a model has a copy near an engine that just now can make no room: what is there
     /// has only just arrived, or is waited for itself. That is over in a moment, where the
     /// weight store takes several times as long and is needed for others.
-    fn is_only_blocked(&self, want: &Want<'_>) -> bool {
+    fn is_only_blocked(&self, want: &AggregateDemand<'_>) -> bool {
         self.policy.has(Mechanism::WaitForNearCopies)
             && self.demand.missing_ms(want.model, self.now_ms) < BLOCKED_FOR_MS
             && self.near.contains_key(want.model)
@@ -68,13 +68,13 @@
         filled > slots && further.count() < FURTHER_LOADS
     }
 
-    fn far_value(&self, want: &Want<'_>) -> f64 {
+    fn far_value(&self, want: &AggregateDemand<'_>) -> f64 {
         let missing_ms = self.demand.missing_ms(want.model, self.now_ms) as f64;
         want.value * (1.0 + missing_ms / PATIENCE_MS)
     }
 
     /// Notes when models whose turn has not come will be ready.
-    fn note_turns(&mut self, left: &[&Want<'a>]) {
+    fn note_turns(&mut self, left: &[&AggregateDemand<'a>]) {
         let mut ends: BinaryHeap<Reverse<u64>> = self.remote_ends_ms().map(Reverse).collect();
         // A load that could begin and does not has no room for now.
         while ends.len() < self.most_remote_loads() {
--- a/crates/trestle-dispatch/src/placing/worth.rs
+++ b/crates/trestle-dispatch/src/placing/value.rs
@@ -8,7 +8,7 @@
 //! its requests were late for 8 s.
 
 use super::Planner;
-use crate::{demand::Want, policy::Mechanism};
+use crate::{demand::AggregateDemand, policy::Mechanism};
 use trestle_core::names::ModelName;
 
 /// Time ahead that a plan looks at: demand moves within some ten seconds, and what is
@@ -32,7 +32,7 @@
 
 impl Planner<'_> {
     /// What the first replica of a model that somebody waits for gains.
-    pub(super) fn gain_of_first_ms(&self, want: &Want<'_>) -> f64 {
+    pub(super) fn gain_of_first_ms(&self, want: &AggregateDemand<'_>) -> f64 {
         f64::from(want.count) * MISSED_MS + self.shortfall_ms(want.model, 0)
             - self.shortfall_ms(want.model, 1)
     }
--- a/crates/trestle-dispatch/src/rates.rs
+++ b/crates/trestle-dispatch/src/rates.rs
@@ -49,12 +49,12 @@
 
 impl Rates {
     /// Notes arrivals.
-    pub fn arrived(&mut self, model: &ModelName, count: u32, now_ms: u64) {
+    pub fn record_arrivals(&mut self, model: &ModelName, count: u32, now_ms: u64) {
         self.add(model, f64::from(count), now_ms, now_ms);
     }
 
     /// Takes what another daemon remembers.
-    pub fn remembered(&mut self, past: &[PastArrivals], now_ms: u64) {
+    pub fn add_history(&mut self, past: &[PastArrivals], now_ms: u64) {
         for arrivals in past {
             let last_ms = now_ms.saturating_sub(arrivals.age_ms);
             self.add(&arrivals.model, f64::from(arrivals.weight_milli) / 1e3, last_ms, now_ms);
@@ -62,7 +62,7 @@
     }
 
     /// What is remembered of the models that are asked for most.
-    pub fn past(&self, now_ms: u64) -> Vec<PastArrivals> {
+    pub fn history(&self, now_ms: u64) -> Vec<PastArrivals> {
         let each = self.models.iter().map(|(model, rate)| PastArrivals {
             model: model.clone(),
             weight_milli: (rate.decayed(now_ms) * 1e3) as u32,
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -1,10 +1,10 @@
 //! What becomes of one request now: it goes to an endpoint, waits, or is refused.
 
 use crate::{
-    admission::{self, Admission, Outlook, Reason, Wait},
+    admission::{self, Admission, Forecast, Reason, Wait},
     asked::Wish,
     beliefs::Beliefs,
-    choice::{self, HeldBack, Known, Need},
+    choice::{self, ChoiceInputs, Requirements, Throttled},
     endpoint::{Endpoint, Life},
     loadable::Loadable,
     policy::{Mechanism, Policy},
@@ -23,7 +23,7 @@
 
 /// One request, as selection looks at it.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking<'a> {
+pub struct RequestContext<'a> {
     /// Its route.
     pub route: &'a Route,
     /// The service behind the route that it goes to.
@@ -35,13 +35,13 @@
     /// Time since its arrival.
     pub elapsed_ms: u64,
     /// The number of its wish, while it waits.
-    pub wish: Option<u64>,
+    pub demand_id: Option<u64>,
     /// Whether it may run although endpoints may have ended under it.
     pub is_trial: bool,
     /// Whether its team's limit allows it.
-    pub is_paid: bool,
+    pub has_quota: bool,
     /// The life of an endpoint with a limit that has a place for it.
-    pub place: Option<&'a Life>,
+    pub send_permit: Option<&'a Life>,
 }
 
 /// What becomes of a request now.
@@ -51,13 +51,13 @@
     Send(Endpoint),
     /// There is an endpoint for it; whether it may run has to be asked for, since endpoints may
     /// have ended under it.
-    Try,
+    RequestTrial,
     /// There is an endpoint for it; it has to be taken from its team's limit first.
-    Pay,
+    ChargeQuota,
     /// This endpoint could run it, and has named a limit; a place there has to be asked for first.
-    AskPlace(Endpoint),
+    RequestSendPermit(Endpoint),
     /// Every endpoint that could run it has asked for less; it is refused now.
-    HeldBack(HeldBack),
+    Throttled(Throttled),
     /// It waits for a change of what is known, at most until this long after its arrival.
     Wait {
         /// When waiting must end, from its arrival.
@@ -75,7 +75,7 @@
 /// Decides on a request. The lot must differ from request to request and from daemon to daemon.
 pub fn select(
     beliefs: &mut Beliefs,
-    asking: Asking<'_>,
+    asking: RequestContext<'_>,
     sends: &Sends,
     lot: u64,
     now_ms: u64,
@@ -88,17 +88,17 @@
         let must_ask = !asking.is_trial && beliefs.must_be_tried(asking.head.fingerprint, now_ms);
         let life = endpoint.life();
         let needs_place =
-            beliefs.backpressure.limit(&life).is_some() && asking.place != Some(&life);
-        return match (must_ask, asking.is_paid) {
-            (true, _) => Selection::Try,
-            (false, false) => Selection::Pay,
-            (false, true) if needs_place => Selection::AskPlace(endpoint),
+            beliefs.backpressure.limit(&life).is_some() && asking.send_permit != Some(&life);
+        return match (must_ask, asking.has_quota) {
+            (true, _) => Selection::RequestTrial,
+            (false, false) => Selection::ChargeQuota,
+            (false, true) if needs_place => Selection::RequestSendPermit(endpoint),
             (false, true) => Selection::Send(endpoint),
         };
     }
     let everywhere = sends.allowed_at_all(asking.route);
-    if let Some(held_back) = look(beliefs, asking, &everywhere, now_ms, choice::held_back) {
-        return Selection::HeldBack(held_back);
+    if let Some(held_back) = look(beliefs, asking, &everywhere, now_ms, choice::throttled) {
+        return Selection::Throttled(held_back);
     }
     if asking.head.model.is_none() {
         return Selection::Refuse { retry_after_ms: PLAIN_RETRY_MS, reason: None };
@@ -114,16 +114,21 @@
 /// Whether another endpoint than the last could take the request over now, and the budget has a
 /// send left for that. Without the second, 400 of 20,000 streams were broken off at an engine
 /// with a queue and sent nowhere.
-pub fn has_other(beliefs: &mut Beliefs, asking: Asking<'_>, sends: &Sends, now_ms: u64) -> bool {
+pub fn has_alternative(
+    beliefs: &mut Beliefs,
+    asking: RequestContext<'_>,
+    sends: &Sends,
+    now_ms: u64,
+) -> bool {
     if !beliefs.has_retry(asking.service, now_ms) {
         return false;
     }
     let allowed = sends.allowed_elsewhere(asking.route, now_ms);
-    look(beliefs, asking, &allowed, now_ms, choice::has_sound)
+    look(beliefs, asking, &allowed, now_ms, choice::has_healthy)
 }
 
 /// What a request waits for; `due_ms` is on the daemon's clock.
-pub fn wish(asking: Asking<'_>, due_ms: u64) -> Option<Wish> {
+pub fn pending_demand(asking: RequestContext<'_>, due_ms: u64) -> Option<Wish> {
     let model = asking.head.model.clone()?;
     let adapter = asking.head.adapter.clone();
     Some(Wish {
@@ -137,28 +142,29 @@
 }
 
 /// What a caller that was told to come back will ask for.
-pub fn wish_of_returning(
+pub fn returning_demand(
     policy: &Policy,
-    asking: Asking<'_>,
+    asking: RequestContext<'_>,
     retry_after_ms: u64,
     now_ms: u64,
 ) -> Option<Wish> {
     let is_kept = policy.has(Mechanism::KeepForReturning);
-    wish(asking, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
+    pending_demand(asking, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
 }
 
 fn choose_allowed(
     beliefs: &mut Beliefs,
-    asking: Asking<'_>,
+    asking: RequestContext<'_>,
     sends: &Sends,
     lot: u64,
     now_ms: u64,
 ) -> Option<Endpoint> {
     let mut choose = |allowed: &Allowed| {
-        let chosen = |known: Known<'_>, need: Need<'_>| {
-            let place = asking.place.filter(|life| choice::is_open_with_place(known, need, life));
+        let chosen = |known: ChoiceInputs<'_>, need: Requirements<'_>| {
+            let place =
+                asking.send_permit.filter(|life| choice::accepts_with_permit(known, need, life));
             match place {
-                Some(life) => known.beliefs.directory.get(&life.name).cloned(),
+                Some(life) => known.local_view.directory.get(&life.name).cloned(),
                 None => choice::choose(known, need, lot).cloned(),
             }
         };
@@ -171,12 +177,12 @@
 /// Looks for endpoints by what is known now.
 fn look<R>(
     beliefs: &mut Beliefs,
-    asking: Asking<'_>,
+    asking: RequestContext<'_>,
     allowed: &Allowed,
     now_ms: u64,
-    look: impl FnOnce(Known<'_>, Need<'_>) -> R,
+    look: impl FnOnce(ChoiceInputs<'_>, Requirements<'_>) -> R,
 ) -> R {
-    let need = Need {
+    let need = Requirements {
         service: asking.service,
         model: asking.head.model.as_ref(),
         adapter: asking.head.adapter.as_ref(),
@@ -186,12 +192,12 @@
     beliefs.directory.tick(now_ms);
     let nothing = ReplicaView::default();
     let replicas = beliefs.replicas.get(asking.service).unwrap_or(&nothing);
-    look(Known { beliefs, replicas, now_ms }, need)
+    look(ChoiceInputs { local_view: beliefs, replicas, now_ms }, need)
 }
 
 /// Whether a request without an endpoint waits.
-fn wait_or_refuse(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> Admission {
-    let Asking { route, elapsed_ms, allowed_ms, .. } = asking;
+fn wait_or_refuse(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> Admission {
+    let RequestContext { route, elapsed_ms, allowed_ms, .. } = asking;
     let wait = match beliefs.policy.has(Mechanism::WaitWhileCallerStays) {
         true => Wait::new(route, elapsed_ms, allowed_ms),
         false => Wait::within_objective(route, elapsed_ms, allowed_ms),
@@ -200,33 +206,34 @@
 }
 
 /// What is known of when a request's model will be ready.
-fn outlook(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> Outlook {
-    let Some(model) = &asking.head.model else { return Outlook::Unknown };
+fn outlook(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> Forecast {
+    let Some(model) = &asking.head.model else { return Forecast::Unknown };
     if !beliefs.has_leader {
         let everywhere = Allowed { excluded: BTreeSet::new(), only: None };
-        if look(beliefs, asking, &everywhere, now_ms, choice::is_here) {
-            return Outlook::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) };
+        if look(beliefs, asking, &everywhere, now_ms, choice::is_loaded) {
+            return Forecast::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) };
         }
         let is_awaited = beliefs.policy.has(Mechanism::AwaitLeader);
         let in_ms = beliefs.without_leader_ms(now_ms).filter(|_| is_awaited);
-        return in_ms.map_or(Outlook::Unknown, |in_ms| Outlook::Ready { in_ms });
+        return in_ms.map_or(Forecast::Unknown, |in_ms| Forecast::Ready { in_ms });
     }
     let loadable = Loadable::new(model, asking.head.adapter.as_ref());
     let ready_in_ms = beliefs.ready_in_ms(asking.service, &loadable, now_ms);
     match ready_in_ms {
-        Some(0) => return Outlook::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) },
-        Some(in_ms) => return Outlook::Ready { in_ms },
+        Some(0) => return Forecast::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) },
+        Some(in_ms) => return Forecast::Ready { in_ms },
         None => {}
     }
     let asked = beliefs.asked.get(asking.service);
-    let is_answered = asked.zip(asking.wish).is_some_and(|(asked, wish)| asked.is_answered(wish));
-    if is_answered { Outlook::Unknown } else { Outlook::Unheard }
+    let is_answered =
+        asked.zip(asking.demand_id).is_some_and(|(asked, wish)| asked.is_answered(wish));
+    if is_answered { Forecast::Unknown } else { Forecast::NotReported }
 }
 
 /// For how long the leader has called something ready that a request waits for.
-fn ready_for_ms(beliefs: &mut Beliefs, asking: Asking<'_>, now_ms: u64) -> u64 {
+fn ready_for_ms(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> u64 {
     let waiting = &mut beliefs.asked_of(asking.service).waiting;
-    let wish = asking.wish.and_then(|number| waiting.get_mut(&number));
+    let wish = asking.demand_id.and_then(|number| waiting.get_mut(&number));
     let ready_ms = wish.map(|wish| *wish.ready_ms.get_or_insert(now_ms));
     ready_ms.map_or(0, |ready_ms| now_ms.saturating_sub(ready_ms))
 }
--- a/crates/trestle-dispatch/src/sends.rs
+++ b/crates/trestle-dispatch/src/sends.rs
@@ -64,14 +64,14 @@
 
 impl Sends {
     /// Notes a send.
-    pub fn sent(&mut self, endpoint: &EndpointName) {
+    pub fn record_send(&mut self, endpoint: &EndpointName) {
         self.count += 1;
         self.is_last_new = self.sent_to.insert(endpoint.clone());
         self.last = Some(endpoint.clone());
     }
 
     /// Notes that the last send got no answer that can be passed on.
-    pub fn ended(&mut self, end: SendEnd, now_ms: u64) {
+    pub fn record_end(&mut self, end: SendEnd, now_ms: u64) {
         self.may_have_run |= end.may_have_run();
         if end == SendEnd::NotSent {
             return self.take_back();
@@ -120,19 +120,19 @@
     }
 
     /// Whether another send can follow one that may have run, to any endpoint.
-    pub fn has_more(&self, route: &Route) -> bool {
+    pub fn has_attempt_left(&self, route: &Route) -> bool {
         self.count < route.attempts
     }
 
     /// Takes a further send from the budget; the first needs none.
-    pub fn take_next(
+    pub fn reserve_next(
         &mut self,
         route: &Route,
         service: &ServiceName,
         beliefs: &mut Beliefs,
         now_ms: u64,
     ) -> bool {
-        let is_spent = self.may_have_run && !self.has_more(route);
+        let is_spent = self.may_have_run && !self.has_attempt_left(route);
         let is_taken = std::mem::take(&mut self.has_unspent);
         self.count == 0 || (!is_spent && (is_taken || beliefs.take_retry(service, now_ms)))
     }
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -6,13 +6,13 @@
     demand::Demand,
     directory::Directory,
     endpoint::{Endpoint, Held, Life},
-    learnt::LearntTimes,
     loadable::{self, Loadable},
+    observed_times::ObservedTimes,
     orders::OrderChain,
     placing::{EngineState, PlanInputs, Planner},
     policy::Policy,
     replicas::{EngineNote, ReplicaView},
-    sharing::{Host, Sharing},
+    sharing::{EngineView, Sharing},
     usage::Usage,
 };
 use std::{
@@ -43,13 +43,13 @@
     limited: BTreeSet<EndpointName>,
     ready_in_ms: BTreeMap<Loadable, u64>,
     planned_ms: u64,
-    learnt: LearntTimes,
+    learnt: ObservedTimes,
     /// Grows with each change that daemons should hear of at once.
     news: u64,
 }
 
 /// A change to begin, with the orders that make it.
-pub type Begun = (Arc<Endpoint>, Change, OrderChain);
+pub type StartedChange = (Arc<Endpoint>, Change, OrderChain);
 
 /// One start of an engine.
 #[derive(Debug, Default)]
@@ -85,16 +85,16 @@
         orders_in_ms: u64,
         may_order_at: impl Fn(&EndpointName) -> bool,
         now_ms: u64,
-    ) -> Vec<Begun> {
+    ) -> Vec<StartedChange> {
         self.demand.tick(now_ms);
         self.follow(directory, now_ms);
-        self.share(spec, directory, now_ms);
+        self.assign_groups(spec, directory, now_ms);
         let unlimited = self.engines.iter().filter(|(name, _)| !self.limited.contains(*name));
         let own = unlimited.flat_map(|(_, known)| known.held.keys());
         let elsewhere = self.sharing.engines().flat_map(|foreign| foreign.holds.keys());
         let held = own.chain(elsewhere).cloned().collect();
         let is_planned = |wish: &Loadable| self.sharing.is_planned(wish, now_ms);
-        self.demand.note_plan(&held, is_planned, now_ms);
+        self.demand.record_plan(&held, is_planned, now_ms);
         let engines = &self.engines;
         let states = directory.values().filter_map(|endpoint| {
             let known = engines.get(&endpoint.name)?;
@@ -112,7 +112,7 @@
         let inputs = PlanInputs {
             spec,
             demand: &self.demand,
-            learnt: &self.learnt,
+            observed_times: &self.learnt,
             policy,
             sharing: &self.sharing,
             now_ms,
@@ -133,7 +133,7 @@
     }
 
     /// Works out which of several leaders sees to what daemons wait for and nobody sees to yet.
-    pub fn share(
+    pub fn assign_groups(
         &mut self,
         spec: &EngineSpec,
         directory: &BTreeMap<EndpointName, Arc<Endpoint>>,
@@ -146,7 +146,7 @@
         let wishes = self.demand.waited_for(now_ms);
         let (known, new): (Vec<Loadable>, Vec<Loadable>) =
             wishes.into_iter().partition(|wish| self.sharing.is_settled(wish, now_ms));
-        self.sharing.still_wanted(&known, now_ms);
+        self.sharing.renew(&known, now_ms);
         if new.is_empty() {
             return;
         }
@@ -154,21 +154,21 @@
         let engines = &self.engines;
         let own = directory.values().filter_map(|endpoint| {
             let known = engines.get(&endpoint.name)?;
-            Some(Host { endpoint, holds: &known.held, running: usage.at(&endpoint.name) })
+            Some(EngineView { endpoint, holds: &known.held, running: usage.at(&endpoint.name) })
         });
-        let own: Vec<Host<'_>> = own.collect();
+        let own: Vec<EngineView<'_>> = own.collect();
         self.sharing.assign(new.into_iter(), spec, &own, now_ms);
     }
 
     /// Groups of other leaders that see to something which daemons wait for, and have not planned
     /// with it yet.
-    pub fn unplanned_elsewhere(&self, now_ms: u64) -> BTreeSet<DomainName> {
+    pub fn groups_to_plan(&self, now_ms: u64) -> BTreeSet<DomainName> {
         if self.sharing.is_alone() {
             return BTreeSet::new();
         }
         let wishes = self.demand.waited_for(now_ms);
         let unplanned = wishes.iter().filter(|wish| !self.sharing.is_planned(wish, now_ms));
-        unplanned.filter_map(|wish| self.sharing.group_of(wish).cloned()).collect()
+        unplanned.filter_map(|wish| self.sharing.assigned_group(wish).cloned()).collect()
     }
 
     /// Takes the end of a change; nothing, if the engine has started again meanwhile.
@@ -178,7 +178,7 @@
         let Some(change) = known.change.take() else { return };
         self.news += 1;
         if let Some(waited_ms) = chain.run_wait_ms() {
-            self.learnt.run_waited(waited_ms);
+            self.learnt.record_run_wait(waited_ms);
         }
         if chain.is_silent() {
             known.silent_until_ms = now_ms + SILENT_MS;
@@ -195,7 +195,7 @@
     }
 
     /// Grows with each change that daemons should hear of at once.
-    pub fn news(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.news
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Models that are on their way to engines.
-    pub fn coming(&self) -> impl Iterator<Item = &ModelName> {
+    pub fn loading_models(&self) -> impl Iterator<Item = &ModelName> {
         let changes = self.engines.values().filter_map(|known| known.change.as_ref());
         changes.filter(|change| change.adapter.is_none()).map(|change| &change.model)
     }
@@ -258,7 +258,7 @@
         spec: &Arc<EngineSpec>,
         change: Change,
         directory: &BTreeMap<EndpointName, Arc<Endpoint>>,
-    ) -> Option<Begun> {
+    ) -> Option<StartedChange> {
         let endpoint = directory.get(&change.endpoint)?.clone();
         let known = self.engines.get_mut(&change.endpoint)?;
         let chain = OrderChain::new(
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -44,7 +44,7 @@
 
 /// One engine, as a leader sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Host<'a> {
+pub struct EngineView<'a> {
     /// Its entry.
     pub endpoint: &'a Endpoint,
     /// What it can run.
@@ -55,7 +55,7 @@
 
 /// An engine that another leader orders.
 #[derive(Debug, Clone)]
-pub struct Foreign {
+pub struct ForeignEngine {
     /// Its entry.
     pub endpoint: Arc<Endpoint>,
     /// What it can run.
@@ -71,9 +71,9 @@
     /// Groups with a leader that answers, this one's included.
     live: BTreeSet<DomainName>,
     leaders: usize,
-    engines: BTreeMap<EndpointName, Foreign>,
+    engines: BTreeMap<EndpointName, ForeignEngine>,
     /// Models that another leader is bringing in, with its group.
-    coming: BTreeMap<ModelName, DomainName>,
+    loading: BTreeMap<ModelName, DomainName>,
     /// Wishes of this one's daemons with which other leaders have planned.
     planned: BTreeSet<Loadable>,
     homes: BTreeMap<Loadable, Home>,
@@ -92,7 +92,7 @@
 
 /// What a leader hears of the others.
 #[derive(Debug, Default)]
-pub struct Others {
+pub struct OtherLeaders {
     /// Groups that this leader orders.
     pub led: BTreeSet<DomainName>,
     /// Groups of other leaders that answer.
@@ -100,23 +100,23 @@
     /// Other leaders.
     pub leaders: usize,
     /// Engines of all other groups.
-    pub engines: BTreeMap<EndpointName, Foreign>,
+    pub engines: BTreeMap<EndpointName, ForeignEngine>,
     /// Models that others are bringing in, with their groups.
-    pub coming: BTreeMap<ModelName, DomainName>,
+    pub loading: BTreeMap<ModelName, DomainName>,
     /// Wishes of this leader's daemons with which they have planned.
     pub planned: BTreeSet<Loadable>,
 }
 
 impl Sharing {
     /// Takes what is known of the others now.
-    pub fn update(&mut self, others: Others) {
-        let Others { led, mut live, leaders, engines, coming, planned } = others;
+    pub fn update(&mut self, others: OtherLeaders) {
+        let OtherLeaders { led, mut live, leaders, engines, loading: coming, planned } = others;
         live.extend(led.iter().cloned());
         self.led = led;
         self.live = live;
         self.leaders = leaders;
         self.engines = engines;
-        self.coming = coming;
+        self.loading = coming;
         self.planned = planned;
     }
 
@@ -131,17 +131,17 @@
     }
 
     /// Engines that others order.
-    pub fn engines(&self) -> impl Iterator<Item = &Foreign> {
+    pub fn engines(&self) -> impl Iterator<Item = &ForeignEngine> {
         self.engines.values()
     }
 
     /// Whether this leader sees to what its own daemons wait for.
-    pub fn is_here(&self, wish: &Loadable) -> bool {
-        self.group_of(wish).is_none_or(|group| self.led.contains(group))
+    pub fn is_assigned_here(&self, wish: &Loadable) -> bool {
+        self.assigned_group(wish).is_none_or(|group| self.led.contains(group))
     }
 
     /// The group whose leader sees to a wish, where that was worked out.
-    pub fn group_of(&self, wish: &Loadable) -> Option<&DomainName> {
+    pub fn assigned_group(&self, wish: &Loadable) -> Option<&DomainName> {
         self.homes.get(wish).map(|home| &home.group)
     }
 
@@ -159,7 +159,7 @@
         &mut self,
         wishes: impl Iterator<Item = Loadable>,
         spec: &EngineSpec,
-        own: &[Host<'_>],
+        own: &[EngineView<'_>],
         now_ms: u64,
     ) {
         let known = Hosts::new(self.live_hosts(own));
@@ -175,7 +175,7 @@
     }
 
     /// Notes that somebody still waits for these.
-    pub fn still_wanted(&mut self, wishes: &[Loadable], now_ms: u64) {
+    pub fn renew(&mut self, wishes: &[Loadable], now_ms: u64) {
         for wish in wishes {
             if let Some(home) = self.homes.get_mut(wish) {
                 if now_ms >= home.wanted_ms + NEW_AGAIN_MS {
@@ -216,7 +216,7 @@
         if let Some(holder) = holders.min_by_key(|host| rank(wish, host.endpoint)) {
             return Some((holder.endpoint.domain.clone(), now_ms + PRESENT_MS));
         }
-        if let Some(group) = self.coming.get(model).filter(|group| self.live.contains(*group)) {
+        if let Some(group) = self.loading.get(model).filter(|group| self.live.contains(*group)) {
             return Some((group.clone(), now_ms + PRESENT_MS));
         }
         let spec = spec.models.get(model)?;
@@ -225,8 +225,13 @@
     }
 
     /// Whether this leader's engines should get the next replica of a model.
-    pub fn is_next_here(&self, model: &ModelName, spec: &ModelSpec, own: &[Host<'_>]) -> bool {
-        let is_coming_elsewhere = self.coming.contains_key(model);
+    pub fn is_next_here(
+        &self,
+        model: &ModelName,
+        spec: &ModelSpec,
+        own: &[EngineView<'_>],
+    ) -> bool {
+        let is_coming_elsewhere = self.loading.contains_key(model);
         let hosts = self.live_hosts(own).into_iter();
         let group = best(model, spec, hosts.filter(|host| !host.holds.contains_key(model)));
         !is_coming_elsewhere && group.is_some_and(|group| self.led.contains(group))
@@ -238,8 +243,8 @@
     }
 
     /// All engines of groups with a leader that answers.
-    fn live_hosts<'a>(&'a self, own: &[Host<'a>]) -> Vec<Host<'a>> {
-        let foreign = self.engines.values().map(|foreign| Host {
+    fn live_hosts<'a>(&'a self, own: &[EngineView<'a>]) -> Vec<EngineView<'a>> {
+        let foreign = self.engines.values().map(|foreign| EngineView {
             endpoint: &foreign.endpoint,
             holds: &foreign.holds,
             running: foreign.running,
@@ -251,13 +256,13 @@
 
 /// Engines, also by what they hold; one list serves all wishes of a plan.
 struct Hosts<'a> {
-    all: Vec<Host<'a>>,
-    holders: BTreeMap<&'a ModelName, Vec<Host<'a>>>,
+    all: Vec<EngineView<'a>>,
+    holders: BTreeMap<&'a ModelName, Vec<EngineView<'a>>>,
 }
 
 impl<'a> Hosts<'a> {
-    fn new(all: Vec<Host<'a>>) -> Self {
-        let mut holders: BTreeMap<&ModelName, Vec<Host<'_>>> = BTreeMap::new();
+    fn new(all: Vec<EngineView<'a>>) -> Self {
+        let mut holders: BTreeMap<&ModelName, Vec<EngineView<'_>>> = BTreeMap::new();
         for host in &all {
             for model in host.holds.keys() {
                 holders.entry(model).or_default().push(*host);
@@ -271,7 +276,7 @@
 fn best<'a>(
     model: &ModelName,
     spec: &ModelSpec,
-    hosts: impl Iterator<Item = Host<'a>>,
+    hosts: impl Iterator<Item = EngineView<'a>>,
 ) -> Option<&'a DomainName> {
     let ranked = hosts.map(|host| {
         let endpoint = host.endpoint;
--- a/crates/trestle-dispatch/src/pace.rs
+++ b/crates/trestle-dispatch/src/sync_intervals.rs
@@ -24,19 +24,19 @@
 
 /// How often daemons tell the leader what callers ask for.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct SyncIntervals {
     daemons: u64,
     bound_ms: u64,
 }
 
-impl Pace {
+impl SyncIntervals {
     /// The pace of so many daemons that must know everything within a bound.
-    pub fn of(daemons: usize, bound_ms: u64) -> Self {
+    pub fn new(daemons: usize, bound_ms: u64) -> Self {
         Self { daemons: daemons as u64, bound_ms }
     }
 
     /// Shortest time between two tellings, also after one that failed.
-    pub fn least_ms(self) -> u64 {
+    pub fn min_ms(self) -> u64 {
         LEAST_MS.max(self.daemons / 2 * TWO_DAEMONS_LEAST_MS).min(self.longest_ms())
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Time until the next telling while nothing waits.
-    pub fn calm_ms(self) -> u64 {
+    pub fn idle_ms(self) -> u64 {
         CALM_MS.max(self.daemons * DAEMON_CALM_MS).min(self.longest_ms())
     }
 
--- a/crates/trestle-dispatch/src/trials.rs
+++ b/crates/trestle-dispatch/src/trials.rs
@@ -34,7 +34,7 @@
 impl Trials {
     /// Takes since when this leader has decided on the request that is asked for next, if another
     /// one may have before: what that one has allowed is not known here.
-    pub fn decides_since(&mut self, since_ms: Option<u64>) {
+    pub fn set_leader_since(&mut self, since_ms: Option<u64>) {
         self.others_until_ms = since_ms.map_or(0, |since_ms| since_ms + TRIAL_MS);
     }
 
--- a/crates/trestle-dispatch/tests/candidate.rs
+++ b/crates/trestle-dispatch/tests/candidate.rs
@@ -25,7 +25,7 @@
             fn $name() {
                 let last: Option<LeaseRow> = $last;
                 let wait_ms = |millicores, age_ms| {
-                    Candidate { millicores, age_ms, ready_since_ms: 0 }.others_first_ms(last.as_ref())
+                    Candidate { millicores, age_ms, ready_since_ms: 0 }.takeover_delay_ms(last.as_ref())
                 };
                 assert!(wait_ms($one, $one_ms) < wait_ms($other, $other_ms));
             }
@@ -42,14 +42,14 @@
 #[test]
 fn nobody_waits_where_all_are_alike() {
     let candidate = Candidate { millicores: 250, age_ms: 60_000, ready_since_ms: 0 };
-    assert_eq!(candidate.others_first_ms(Some(&row(250, false))), 0);
+    assert_eq!(candidate.takeover_delay_ms(Some(&row(250, false))), 0);
 }
 
 #[test]
 fn the_weakest_takes_it_in_the_end() {
     for last in [None, Some(row(4_000, false)), Some(row(4_000, true))] {
         let candidate = Candidate { millicores: 1, age_ms: 60_000, ready_since_ms: 0 };
-        assert!(candidate.others_first_ms(last.as_ref()) <= 1_000);
+        assert!(candidate.takeover_delay_ms(last.as_ref()) <= 1_000);
     }
 }
 
@@ -59,7 +59,7 @@
 fn the_stronger_goes_first_also_where_the_lease_was_free_long_before_either_was_ready() {
     let takes_from_ms = |millicores, ready_since_ms| {
         let candidate = Candidate { millicores, age_ms: ready_since_ms, ready_since_ms };
-        candidate.takes_from_ms(100, None)
+        candidate.may_acquire_from_ms(100, None)
     };
     assert!(takes_from_ms(500, 2_300) < takes_from_ms(120, 2_000));
 }
--- a/crates/trestle-dispatch/tests/deciders.rs
+++ b/crates/trestle-dispatch/tests/deciders.rs
@@ -87,11 +87,11 @@
         let (first, _) = first_and_other(&deciders);
         deciders.note(&first.into(), leader(9, 2), 10_500);
         let mut next = Trials::default();
-        next.decides_since(deciders.decides_since_ms(NAME));
+        next.set_leader_since(deciders.decides_since_ms(NAME));
         let wait_ms = next.begin(request, vm(1), 1, 10_600).expect_err("it may still run");
         assert!(10_600 + wait_ms >= 13_000, "{wait_ms}");
         let later_ms = 10_600 + wait_ms;
-        next.decides_since(deciders.decides_since_ms(NAME));
+        next.set_leader_since(deciders.decides_since_ms(NAME));
         assert!(next.begin(request, vm(1), 1, later_ms).is_ok());
     }
 }
--- a/crates/trestle-dispatch/tests/lease.rs
+++ b/crates/trestle-dispatch/tests/lease.rs
@@ -9,7 +9,7 @@
 };
 
 const TIMING: LeaseTiming =
-    LeaseTiming { renew_ms: 600, hold_ms: 2_000, quiet_ms: 3_000, flight_ms: FLIGHT_MS };
+    LeaseTiming { renew_ms: 600, hold_ms: 2_000, quiet_ms: 3_000, in_flight_ms: FLIGHT_MS };
 const STEP_MS: u64 = 20;
 /// Time that an order may be on its way; none leaves when no more is left of a lease.
 const FLIGHT_MS: u64 = 500;
@@ -18,10 +18,7 @@
 
 fn lease(machine: &str, incarnation: u64) -> Lease {
     let address: SocketAddr = "127.0.0.1:7000".parse().expect("an address");
-    Lease::new(
-        Identity { machine: machine.to_owned(), address, millicores: 500, incarnation },
-        TIMING,
-    )
+    Lease::new(Identity { vm: machine.to_owned(), address, millicores: 500, incarnation }, TIMING)
 }
 
 /// The store's row, changed only under a condition.
@@ -197,8 +194,8 @@
             let daemon = &mut self.daemons[told.to];
             if now_ms >= daemon.frozen_until_ms {
                 let own_ms = now_ms - daemon.behind_ms;
-                daemon.log.heard(&told.engines, own_ms);
-                daemon.lease.heard(told.resignation, own_ms);
+                daemon.log.quiet_times_received(&told.engines, own_ms);
+                daemon.lease.resignation_received(told.resignation, own_ms);
             }
         }
     }
@@ -265,7 +262,7 @@
                 }
                 _ => self.store.write(&write),
             };
-            daemon.lease.written(write, version, sent_ms, own_ms);
+            daemon.lease.write_finished(write, version, sent_ms, own_ms);
         }
         let may_order = daemon.lease.may_order(own_ms);
         if let Some(token) = may_order {
@@ -311,9 +308,9 @@
         let mut world = World::new(3);
         world.run(2_000, false);
         let (left_ms, holder, _) = *world.orders.last().expect("somebody holds it");
-        world.daemons[holder].lease.leave();
+        world.daemons[holder].lease.release();
         world.run(8_000, false);
-        assert!(world.daemons[holder].lease.has_left());
+        assert!(world.daemons[holder].lease.is_release_done());
         let first = world.orders.iter().find(|(_, leader, _)| *leader != holder);
         let (first_ms, ..) = *first.expect("another takes it");
         assert!(first_ms >= left_ms + TIMING.quiet_ms);
--- a/crates/trestle-dispatch/tests/orders.rs
+++ b/crates/trestle-dispatch/tests/orders.rs
@@ -9,7 +9,7 @@
 use trestle_dispatch::{
     catalog::{EngineSpec, ModelSpec},
     endpoint::{EngineReport, Held},
-    orders::{Failure, Next, Order, OrderAnswer, OrderChain},
+    orders::{Failure, NextStep, Order, OrderAnswer, OrderChain},
 };
 
 const LOAD_MS: u64 = 800;
@@ -152,7 +152,7 @@
 }
 
 /// Plays a chain against an engine; `fate` says what becomes of the n-th order.
-fn play(chain: &mut OrderChain, engine: &mut Engine, fate: impl Fn(usize) -> Fate) -> Next {
+fn play(chain: &mut OrderChain, engine: &mut Engine, fate: impl Fn(usize) -> Fate) -> NextStep {
     play_from(1_000, chain, engine, fate).0
 }
 
@@ -162,13 +162,13 @@
     chain: &mut OrderChain,
     engine: &mut Engine,
     fate: impl Fn(usize) -> Fate,
-) -> (Next, u64) {
+) -> (NextStep, u64) {
     for number in 0..400 {
         let (next, not_before_ms) = chain.next();
         now_ms = now_ms.max(not_before_ms) + 3;
         match next {
-            Next::Report => chain.reported(Some(&engine.report(now_ms)), now_ms),
-            Next::Send(order, count) => match fate(number) {
+            NextStep::Report => chain.reported(Some(&engine.report(now_ms)), now_ms),
+            NextStep::Send(order, count) => match fate(number) {
                 Fate::Answered => {
                     let answer = engine.take(&order, count, now_ms);
                     chain.answered(answer, now_ms);
@@ -206,7 +206,7 @@
         let before = held(&[("a", &[]), ("b", &[]), ("c", &[])]);
         let mut engine = Engine::new(before.clone(), 4);
         let mut chain = OrderChain::new(spec(), swap("a", "d"), before, Some(4), LOAD_MS);
-        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), Next::Done);
+        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Done);
         assert_eq!(engine.held, held(&[("b", &[]), ("c", &[]), ("d", &[])]));
         assert_eq!(chain.held(), &engine.held);
         assert_eq!(chain.order_count(), Some(6));
@@ -218,7 +218,7 @@
         let mut engine = Engine::new(before, 7);
         let stale = held(&[("a", &[])]);
         let mut chain = OrderChain::new(spec(), load_adapter("a", "x"), stale, Some(7), 0);
-        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), Next::Done);
+        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Done);
         assert_eq!(chain.order_count(), Some(7));
     }
 
@@ -228,7 +228,7 @@
         let mut engine = Engine::new(true_state.clone(), 3);
         let stale = held(&[("a", &[])]);
         let mut chain = OrderChain::new(spec(), load_adapter("a", "z"), stale, None, 0);
-        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), Next::Failed(Failure::Changed));
+        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Failed(Failure::Changed));
         assert_eq!(engine.held, true_state);
         assert_eq!(chain.held(), &true_state);
     }
@@ -246,7 +246,7 @@
         let mut chain = OrderChain::new(spec(), steps, before, Some(5), 0);
         let end = play(&mut chain, &mut engine, |_| Fate::Answered);
         assert_eq!(engine.most_adapters, 2);
-        assert!(matches!(end, Next::Failed(Failure::Changed)), "{end:?}");
+        assert!(matches!(end, NextStep::Failed(Failure::Changed)), "{end:?}");
     }
 
     // Twice seen on days with late orders, 1 in some 500, and in no replay: an engine was ordered
@@ -315,7 +315,7 @@
         let stale = held(&[("a", &[]), ("b", &[])]);
         let steps = vec![Order::LoadModel("d".into())];
         let mut chain = OrderChain::new(spec(), steps, stale, None, LOAD_MS);
-        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), Next::Failed(Failure::Changed));
+        assert_eq!(play(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Failed(Failure::Changed));
         assert_eq!(engine.held, true_state);
     }
 
@@ -324,7 +324,7 @@
         let mut engine = Engine::new(before.clone(), 0);
         let mut chain = OrderChain::new(spec(), swap("a", "b"), before, Some(0), LOAD_MS);
         let end = play(&mut chain, &mut engine, |_| Fate::Late(1_000_000));
-        assert_eq!(end, Next::Failed(Failure::Silent));
+        assert_eq!(end, NextStep::Failed(Failure::Silent));
         assert_eq!(chain.order_count(), None);
     }
 
@@ -345,7 +345,7 @@
             let mut chain = OrderChain::new(spec(), swap("a", "d"), before, count, LOAD_MS);
             let end = play(&mut chain, &mut engine, |number| fates[number]);
             assert!(engine.most_mb <= 220, "seed {seed}: {} MB", engine.most_mb);
-            if end == Next::Done {
+            if end == NextStep::Done {
                 let after = held(&[("b", &[]), ("c", &["x"]), ("d", &[])]);
                 assert_eq!(engine.held, after, "seed {seed}");
             }
--- a/crates/trestle-dispatch/tests/placement_log.rs
+++ b/crates/trestle-dispatch/tests/placement_log.rs
@@ -60,7 +60,7 @@
                 update(&mut log, &now);
                 let asker = lots.usize(0..3);
                 let mirror = &mut mirrors[asker];
-                mirror.take(log.delta(mirror.position()));
+                mirror.apply_delta(log.delta(mirror.position()));
                 assert_eq!(known(mirror), truth(&now), "seed {seed}");
                 let order: Vec<&EndpointName> = log.engines().collect();
                 assert!(order.into_iter().eq(mirror.engines().map(|(name, _)| name)));
@@ -73,12 +73,12 @@
         let mut log = PlacementLog::new(7);
         let mut mirror = PlacementMirror::default();
         update(&mut log, &[endpoint("x", "d", &["a"])]);
-        mirror.take(log.delta(mirror.position()));
+        mirror.apply_delta(log.delta(mirror.position()));
         let before = mirror.position();
         update(&mut log, &[endpoint("x", "d", &["a", "b"])]);
         log.delta(before);
         update(&mut log, &[endpoint("x", "d", &["b"]), endpoint("y", "d", &["c"])]);
-        mirror.take(log.delta(mirror.position()));
+        mirror.apply_delta(log.delta(mirror.position()));
         assert_eq!(known(&mirror), truth(&[endpoint("x", "d", &["b"]), endpoint("y", "d", &["c"])]));
     }
 
@@ -87,10 +87,10 @@
         let mut mirror = PlacementMirror::default();
         update(&mut one, &[endpoint("x", "d", &["a"]), endpoint("y", "d", &["b"])]);
         update(&mut other, &[endpoint("y", "d", &["c"])]);
-        mirror.take(one.delta(mirror.position()));
+        mirror.apply_delta(one.delta(mirror.position()));
         let delta = other.delta(mirror.position());
         assert!(delta.is_whole);
-        mirror.take(delta);
+        mirror.apply_delta(delta);
         assert_eq!(known(&mirror), truth(&[endpoint("y", "d", &["c"])]));
     }
 
@@ -98,7 +98,7 @@
         let mut log = PlacementLog::new(7);
         let mut mirror = PlacementMirror::default();
         update(&mut log, &[endpoint("x", "d", &["a"])]);
-        mirror.take(log.delta(mirror.position()));
+        mirror.apply_delta(log.delta(mirror.position()));
         let before = mirror.position();
         for number in 0..6_000 {
             let model = if number % 2 == 0 { "b" } else { "a" };
@@ -124,7 +124,7 @@
         let mut log = PlacementLog::new(7);
         update(&mut log, &fleet);
         let mut mirror = PlacementMirror::default();
-        mirror.take(log.delta(mirror.position()));
+        mirror.apply_delta(log.delta(mirror.position()));
         let mut told = 0;
         let mut names = 0;
         for _ in 0..180 {
@@ -135,7 +135,7 @@
             let delta = log.delta(mirror.position());
             told += delta.changes.len();
             names += delta.names.len();
-            mirror.take(delta);
+            mirror.apply_delta(delta);
         }
         // A change takes 5 bytes on the wire and a new name 12; some names are new in the first
         // seconds only.
--- a/crates/trestle-dispatch/tests/placing.rs
+++ b/crates/trestle-dispatch/tests/placing.rs
@@ -8,10 +8,10 @@
 use trestle_dispatch::{
     catalog::EngineSpec,
     change::Change,
-    demand::{Demand, DemandDigest, Waiting},
+    demand::{Demand, DemandReport, Waiting},
     endpoint::Endpoint,
-    learnt::LearntTimes,
     loadable::Loadable,
+    observed_times::ObservedTimes,
     placing::{EngineState, Plan, PlanInputs, Planner},
     policy::Policy,
     sharing::Sharing,
@@ -33,8 +33,8 @@
         Self { engines, ..Self::default() }
     }
 
-    fn tell(&mut self, digest: DemandDigest) {
-        self.demand.told("vm".into(), digest, NOW_MS);
+    fn tell(&mut self, digest: DemandReport) {
+        self.demand.report_received("vm".into(), digest, NOW_MS);
     }
 
     fn plan(&self) -> Plan {
@@ -49,11 +49,11 @@
             change: self.changes.get(&endpoint.name),
             may_change: !self.left_alone.contains(&endpoint.name),
         });
-        let (learnt, policy) = (LearntTimes::default(), Policy::default());
+        let (learnt, policy) = (ObservedTimes::default(), Policy::default());
         let inputs = PlanInputs {
             spec,
             demand: &self.demand,
-            learnt: &learnt,
+            observed_times: &learnt,
             policy: &policy,
             sharing: &Sharing::default(),
             now_ms: NOW_MS,
@@ -72,8 +72,8 @@
     }
 }
 
-fn wish(model: &str) -> DemandDigest {
-    DemandDigest { waiting: vec![waiting(model, None)], ..DemandDigest::default() }
+fn wish(model: &str) -> DemandReport {
+    DemandReport { waiting: vec![waiting(model, None)], ..DemandReport::default() }
 }
 
 fn arrivals(counts: &[(&str, u32)]) -> BTreeMap<ModelName, u32> {
@@ -183,7 +183,7 @@
         let engines = names.map(|name| endpoint(name, "z", &["a", "b"]));
         let mut scene = Scene::new(engines.to_vec());
         let waits = ["c", "d", "e", "f", "g", "h"].map(|model| waiting(model, None));
-        scene.tell(DemandDigest { waiting: waits.to_vec(), ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting: waits.to_vec(), ..DemandReport::default() });
         let plan = scene.plan();
         assert_eq!(plan.changes.iter().filter(|change| change.is_remote).count(), 4);
     }
@@ -196,7 +196,7 @@
         let mut waits: Vec<Waiting> =
             ["a", "b", "c", "d", "e"].map(|model| waiting(model, None)).to_vec();
         waits.push(Waiting { count: 9, due_in_ms: 2_000, ..waiting("f", None) });
-        scene.tell(DemandDigest { waiting: waits, ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting: waits, ..DemandReport::default() });
         let plan = scene.plan();
         assert_eq!(plan.changes.len(), 4);
         assert!(plan.changes.iter().any(|change| change.model == "f".into()));
@@ -208,7 +208,7 @@
             Waiting { priority: 2, count: 3, ..waiting("a", None) },
             Waiting { priority: 0, ..waiting("b", None) },
         ];
-        scene.tell(DemandDigest { waiting: waits, ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting: waits, ..DemandReport::default() });
         assert_eq!(scene.plan().changes[0].model, "b".into());
     }
 
@@ -263,12 +263,12 @@
         ];
         let mut scene = Scene::new(engines);
         let running = BTreeMap::from([(ModelName::from("b"), 3)]);
-        scene.tell(DemandDigest {
+        scene.tell(DemandReport {
             arrivals: arrivals(&[("a", 90), ("b", 10)]),
             running: BTreeMap::from([(EndpointName::from("x"), running)]),
-            ..DemandDigest::default()
+            ..DemandReport::default()
         });
-        scene.demand.note_plan(&BTreeSet::new(), |_| true, NOW_MS);
+        scene.demand.record_plan(&BTreeSet::new(), |_| true, NOW_MS);
         let changes = scene.plan().changes;
         assert_eq!(changes.len(), 1);
         assert_eq!((&changes[0].model, &changes[0].endpoint), (&"a".into(), &"y".into()));
@@ -293,7 +293,7 @@
         let engines = names.map(|name| endpoint(name, "z", &["a", "b"]));
         let mut scene = Scene::new(engines.to_vec());
         let waits = ["c", "d", "e", "f", "g", "h"].map(|model| waiting(model, None));
-        scene.tell(DemandDigest { waiting: waits.to_vec(), ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting: waits.to_vec(), ..DemandReport::default() });
         let plan = scene.plan();
         let mut ready: Vec<u64> = plan.ready_in_ms.values().copied().collect();
         ready.sort_unstable();
@@ -326,7 +326,7 @@
         let full = with_adapters(endpoint("x", "z", &[]), "a", &["1", "2"]);
         let mut scene = Scene::new(vec![full]);
         let waits = ["1", "2", "3"].map(|adapter| waiting("a", Some(adapter)));
-        scene.tell(DemandDigest { waiting: waits.to_vec(), ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting: waits.to_vec(), ..DemandReport::default() });
         let plan = scene.plan();
         assert!(plan.changes.is_empty(), "{:?}", plan.changes);
         let third = Loadable::new(&"a".into(), Some(&"3".into()));
@@ -338,7 +338,7 @@
     an_adapter_is_promised_with_its_model => {
         let mut scene = Scene::new(vec![all_on_disk(endpoint("x", "z", &["a", "b", "c"]))]);
         let waiting = vec![waiting("d", Some("1"))];
-        scene.tell(DemandDigest { waiting, ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting, ..DemandReport::default() });
         let plan = scene.plan();
         assert_eq!(plan.changes[0].model, "d".into());
         let model = plan.ready_in_ms[&Loadable::model(&"d".into())];
@@ -371,7 +371,7 @@
         let engines = vec![all_on_disk(endpoint("x", "z", &["a"])), endpoint("y", "z", &[])];
         let mut scene = Scene::new(engines);
         let arrivals = arrivals(&[("a", 9), ("b", 2), ("c", 5)]);
-        scene.tell(DemandDigest { arrivals, ..DemandDigest::default() });
+        scene.tell(DemandReport { arrivals, ..DemandReport::default() });
         assert!(scene.plan().changes.is_empty());
     }
 
@@ -409,10 +409,10 @@
         ];
         let mut scene = Scene::new(engines);
         let running = BTreeMap::from([(ModelName::from("a"), 6)]);
-        scene.tell(DemandDigest {
+        scene.tell(DemandReport {
             arrivals: arrivals(&[("a", 20)]),
             running: BTreeMap::from([(EndpointName::from("x"), running)]),
-            ..DemandDigest::default()
+            ..DemandReport::default()
         });
         let plan = scene.plan();
         assert_eq!(plan.changes.len(), 1);
@@ -428,10 +428,10 @@
         for (running, begun) in [(2, 0), (6, 1)] {
             let mut scene = Scene::new(engines.clone());
             let running = BTreeMap::from([(ModelName::from("a"), running)]);
-            scene.tell(DemandDigest {
+            scene.tell(DemandReport {
                 arrivals: arrivals(&[("a", 20)]),
                 running: BTreeMap::from([(EndpointName::from("x"), running)]),
-                ..DemandDigest::default()
+                ..DemandReport::default()
             });
             let plan = scene.plan();
             assert_eq!(plan.changes.len(), begun);
@@ -443,10 +443,10 @@
         let full = with_adapters(endpoint("x", "z", &["b"]), "a", &["1", "2"]);
         let mut scene = Scene::new(vec![full, endpoint("y", "z", &["b"])]);
         let in_use = vec![(ModelName::from("a"), "1".into())];
-        scene.tell(DemandDigest {
+        scene.tell(DemandReport {
             waiting: vec![waiting("a", Some("3"))],
             adapters_in_use: BTreeMap::from([(EndpointName::from("x"), in_use)]),
-            ..DemandDigest::default()
+            ..DemandReport::default()
         });
         let plan = scene.plan();
         assert_eq!(plan.changes.len(), 1);
@@ -456,7 +456,7 @@
     an_adapter_that_is_there_is_not_ordered_again => {
         let mut scene = Scene::new(vec![with_adapters(endpoint("x", "z", &[]), "a", &["1"])]);
         let waiting = vec![waiting("a", Some("1"))];
-        scene.tell(DemandDigest { waiting, ..DemandDigest::default() });
+        scene.tell(DemandReport { waiting, ..DemandReport::default() });
         assert!(scene.plan().changes.is_empty());
     }
 
@@ -474,7 +474,7 @@
                 with_disk(endpoint(&format!("e{number}"), "z", &held[..some]), &disk)
             });
             let mut scene = Scene::new(engines.collect());
-            let mut digest = DemandDigest::default();
+            let mut digest = DemandReport::default();
             for model in models {
                 if lots.u32(0..3) == 0 {
                     digest.waiting.push(waiting(model, None));
--- a/crates/trestle-dispatch/tests/rest.rs
+++ b/crates/trestle-dispatch/tests/rest.rs
@@ -7,13 +7,13 @@
 use trestle_dispatch::{
     backpressure::Answer,
     beliefs::Beliefs,
-    choice::HeldBack,
+    choice::Throttled,
     endpoint::Life,
     notice::{Notice, Said},
     request::RequestHead,
     retry_share::RetryBounds,
     route::RouteKind,
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::{SendEnd, Sends},
 };
 
@@ -47,16 +47,16 @@
 fn select(beliefs: &mut Beliefs, sends: &Sends, lot: u64, now_ms: u64) -> Selection {
     let route = route("/", RouteKind::Idempotent);
     let head = RequestHead::default();
-    let asking = Asking {
+    let asking = RequestContext {
         route: &route,
         service: &"s".into(),
         head: &head,
         allowed_ms: 4_000,
         elapsed_ms: 0,
-        wish: None,
+        demand_id: None,
         is_trial: false,
-        is_paid: true,
-        place: None,
+        has_quota: true,
+        send_permit: None,
     };
     selection::select(beliefs, asking, sends, lot, now_ms)
 }
@@ -85,9 +85,9 @@
         answered(&mut beliefs, "y", Some(1_000), NOW_MS, NOW_MS);
         // One that has just been turned away is refused no later than others.
         let mut sends = Sends::default();
-        sends.sent(&"y".into());
-        sends.ended(SendEnd::NotRun, NOW_MS);
-        let first = Selection::HeldBack(HeldBack { life: life("y"), for_ms: 900, is_limited: false });
+        sends.record_send(&"y".into());
+        sends.record_end(SendEnd::NotRun, NOW_MS);
+        let first = Selection::Throttled(Throttled { life: life("y"), for_ms: 900, is_limited: false });
         assert_eq!(select(&mut beliefs, &sends, 1, NOW_MS + 100), first);
     }
 
@@ -134,9 +134,9 @@
         beliefs.daemons = 1;
         let route = route("/", RouteKind::Idempotent);
         let mut sends = Sends::default();
-        assert!(sends.take_next(&route, &"s".into(), &mut beliefs, NOW_MS));
-        sends.sent(&"x".into());
-        sends.ended(SendEnd::NotSent, NOW_MS);
+        assert!(sends.reserve_next(&route, &"s".into(), &mut beliefs, NOW_MS));
+        sends.record_send(&"x".into());
+        sends.record_end(SendEnd::NotSent, NOW_MS);
         assert_eq!((sends.count, sends.may_have_run), (0, false));
         // The endpoint is not set aside by it either.
         assert!(sends.allowed(&route, NOW_MS).excluded.is_empty());
--- a/crates/trestle-dispatch/tests/selection.rs
+++ b/crates/trestle-dispatch/tests/selection.rs
@@ -14,7 +14,7 @@
     request::RequestHead,
     retry_share::RetryBounds,
     route::{Route, RouteKind},
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::{SendEnd, Sends},
 };
 
@@ -43,38 +43,39 @@
         Self { beliefs, route, service: "s".into(), head, sends: Sends::default(), wish: None }
     }
 
-    fn asking(&self, elapsed_ms: u64) -> Asking<'_> {
-        Asking {
+    fn asking(&self, elapsed_ms: u64) -> RequestContext<'_> {
+        RequestContext {
             route: &self.route,
             service: &self.service,
             head: &self.head,
             allowed_ms: ALLOWED_MS,
             elapsed_ms,
-            wish: self.wish,
+            demand_id: self.wish,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         }
     }
 
     fn select(&mut self, elapsed_ms: u64) -> Selection {
         let Self { beliefs, route, service, head, sends, wish } = self;
-        let asking = Asking {
+        let asking = RequestContext {
             route,
             service,
             head,
             allowed_ms: ALLOWED_MS,
             elapsed_ms,
-            wish: *wish,
+            demand_id: *wish,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         };
         selection::select(beliefs, asking, sends, 1, NOW_MS + elapsed_ms)
     }
 
     fn wait(&mut self) {
-        let wish = selection::wish(self.asking(0), NOW_MS + 2_500).expect("it names a model");
+        let wish =
+            selection::pending_demand(self.asking(0), NOW_MS + 2_500).expect("it names a model");
         self.beliefs.asked_of(&"s".into()).waiting.insert(1, wish);
         self.wish = Some(1);
     }
@@ -163,8 +164,8 @@
     without_a_leader_a_request_waits_for_an_engine_that_has_refused_it_a_moment_ago => {
         let mut scene = Scene::new(vec![endpoint("x", "z", &["a"])], "a");
         scene.beliefs.note_leader(false, NOW_MS);
-        scene.sends.sent(&"x".into());
-        scene.sends.ended(SendEnd::NotRun, NOW_MS);
+        scene.sends.record_send(&"x".into());
+        scene.sends.record_end(SendEnd::NotRun, NOW_MS);
         assert!(matches!(scene.select(10), Selection::Wait { .. }));
         assert!(matches!(scene.select(400), Selection::Send(_)));
     }
@@ -186,12 +187,12 @@
     one_is_broken_off_only_where_the_budget_has_a_send_left => {
         let engines = vec![endpoint("x", "z", &["a"]), endpoint("y", "z", &["a"])];
         let mut scene = Scene::new(engines, "a");
-        scene.sends.sent(&"x".into());
+        scene.sends.record_send(&"x".into());
         let has_other = |scene: &mut Scene| {
             let Scene { beliefs, route, service, head, sends, wish } = scene;
             let asking =
-                Asking { route, service, head, allowed_ms: ALLOWED_MS, elapsed_ms: 0, wish: *wish, is_trial: false, is_paid: true, place: None };
-            selection::has_other(beliefs, asking, sends, NOW_MS)
+                RequestContext { route, service, head, allowed_ms: ALLOWED_MS, elapsed_ms: 0, demand_id: *wish, is_trial: false, has_quota: true, send_permit: None };
+            selection::has_alternative(beliefs, asking, sends, NOW_MS)
         };
         scene.beliefs.daemons = 1;
         assert!(has_other(&mut scene));
--- a/crates/trestle-dispatch/tests/service_state.rs
+++ b/crates/trestle-dispatch/tests/service_state.rs
@@ -6,12 +6,12 @@
 use std::{collections::BTreeMap, sync::Arc};
 use trestle_core::names::EndpointName;
 use trestle_dispatch::{
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     directory::Directory,
     endpoint::Endpoint,
     orders::OrderAnswer,
     policy::{Mechanism, Policy},
-    service_state::{Begun, ServiceState},
+    service_state::{ServiceState, StartedChange},
 };
 
 fn directory(engines: &[Endpoint]) -> BTreeMap<EndpointName, Arc<Endpoint>> {
@@ -23,7 +23,7 @@
     engines: &[Endpoint],
     orders_in_ms: u64,
     now_ms: u64,
-) -> Vec<Begun> {
+) -> Vec<StartedChange> {
     let policy = Policy::default();
     state.plan(&spec(), &policy, &directory(engines), orders_in_ms, |_| true, now_ms)
 }
@@ -36,8 +36,8 @@
         adapter: None,
         count: 1,
     });
-    let digest = DemandDigest { number, waiting: waiting.collect(), ..DemandDigest::default() };
-    state.demand.told("vm".into(), digest, now_ms);
+    let digest = DemandReport { number, waiting: waiting.collect(), ..DemandReport::default() };
+    state.demand.report_received("vm".into(), digest, now_ms);
 }
 
 fn view(
--- a/crates/trestle-dispatch/tests/sharing.rs
+++ b/crates/trestle-dispatch/tests/sharing.rs
@@ -9,15 +9,15 @@
 };
 use trestle_core::names::{DomainName, EndpointName};
 use trestle_dispatch::{
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     endpoint::Endpoint,
     groups::Groups,
     loadable::Loadable,
     member_count::MemberCount,
     policy::Policy,
     retry_share::{RetryBounds, RetryShare},
-    service_state::{Begun, ServiceState},
-    sharing::{Foreign, Others},
+    service_state::{ServiceState, StartedChange},
+    sharing::{ForeignEngine, OtherLeaders},
 };
 
 const NOW_MS: u64 = 100_000;
@@ -44,26 +44,26 @@
             let holds = endpoint.held.clone();
             (
                 endpoint.name.clone(),
-                Foreign { endpoint: Arc::new(endpoint.clone()), holds, running: 0 },
+                ForeignEngine { endpoint: Arc::new(endpoint.clone()), holds, running: 0 },
             )
         });
-        self.state.sharing.update(Others {
+        self.state.sharing.update(OtherLeaders {
             led: BTreeSet::from([self.domain.clone()]),
             live: domains(live),
             leaders: live.len(),
             engines: engines.collect(),
-            ..Others::default()
+            ..OtherLeaders::default()
         });
     }
 
     fn wish(&mut self, model: &str) {
         let waiting =
             Waiting { priority: 1, due_in_ms: 1_000, model: model.into(), adapter: None, count: 1 };
-        let digest = DemandDigest { number: 1, waiting: vec![waiting], ..DemandDigest::default() };
-        self.state.demand.told("vm".into(), digest, NOW_MS);
+        let digest = DemandReport { number: 1, waiting: vec![waiting], ..DemandReport::default() };
+        self.state.demand.report_received("vm".into(), digest, NOW_MS);
     }
 
-    fn plan(&mut self, engines: &[Endpoint], now_ms: u64) -> Vec<Begun> {
+    fn plan(&mut self, engines: &[Endpoint], now_ms: u64) -> Vec<StartedChange> {
         let own = engines.iter().filter(|engine| engine.domain == self.domain);
         let own: BTreeMap<EndpointName, Arc<Endpoint>> =
             own.map(|engine| (engine.name.clone(), Arc::new(engine.clone()))).collect();
@@ -104,7 +104,7 @@
         without.hear(&engines, &["z2"]);
         without.wish("d");
         assert!(without.plan(&engines, NOW_MS).is_empty());
-        let group = without.state.sharing.group_of(&Loadable::model(&"d".into()));
+        let group = without.state.sharing.assigned_group(&Loadable::model(&"d".into()));
         assert_eq!(group, Some(&DomainName::from("z2")));
     }
 
@@ -131,8 +131,8 @@
                 count: 1,
             };
             let waiting = vec![waiting];
-            let digest = DemandDigest { number: 1, waiting, ..DemandDigest::default() };
-            leader.state.demand.told_by_leader("other".into(), digest, NOW_MS);
+            let digest = DemandReport { number: 1, waiting, ..DemandReport::default() };
+            leader.state.demand.leader_report_received("other".into(), digest, NOW_MS);
             assert_eq!(leader.plan(&engines, NOW_MS).len(), 1, "{domain}");
         }
     }
@@ -153,16 +153,16 @@
         leader.wish("d");
         leader.plan(&engines, NOW_MS);
         assert_eq!(leader.state.demand.planned(&"vm".into()), 0);
-        leader.state.sharing.update(Others {
+        leader.state.sharing.update(OtherLeaders {
             led: domains(&["z1"]),
             live: domains(&["z2"]),
             leaders: 1,
             engines: BTreeMap::from([(
                 "y".into(),
-                Foreign { endpoint: Arc::new(engines[1].clone()), holds: engines[1].held.clone(), running: 0 },
+                ForeignEngine { endpoint: Arc::new(engines[1].clone()), holds: engines[1].held.clone(), running: 0 },
             )]),
             planned: BTreeSet::from([Loadable::model(&"d".into())]),
-            ..Others::default()
+            ..OtherLeaders::default()
         });
         leader.plan(&engines, NOW_MS + 30);
         assert_eq!(leader.state.demand.planned(&"vm".into()), 1);
@@ -182,23 +182,23 @@
             count: 1,
         };
         let waiting = vec![wish("m"), wish("n")];
-        let digest = DemandDigest { number: 1, waiting, ..DemandDigest::default() };
-        leader.state.demand.told("vm".into(), digest, NOW_MS);
+        let digest = DemandReport { number: 1, waiting, ..DemandReport::default() };
+        leader.state.demand.report_received("vm".into(), digest, NOW_MS);
         leader.plan(&engines, NOW_MS);
         let adapter = |name: &str| Loadable::new(&"b".into(), Some(&name.into()));
-        let foreign = Foreign {
+        let foreign = ForeignEngine {
             endpoint: Arc::new(engines[1].clone()),
             holds: engines[1].held.clone(),
             running: 0,
         };
         let mut plan_after = |planned: &[&str], now_ms| {
-            leader.state.sharing.update(Others {
+            leader.state.sharing.update(OtherLeaders {
                 led: domains(&["z1"]),
                 live: domains(&["z2"]),
                 leaders: 1,
                 engines: BTreeMap::from([("y".into(), foreign.clone())]),
                 planned: planned.iter().map(|name| adapter(name)).collect(),
-                ..Others::default()
+                ..OtherLeaders::default()
             });
             leader.plan(&engines, now_ms);
             leader.state.demand.planned(&"vm".into())
@@ -220,12 +220,12 @@
             count: 1,
         });
         let waiting = waiting.collect();
-        let digest = DemandDigest { number: 1, waiting, ..DemandDigest::default() };
-        leader.state.demand.told("vm".into(), digest, NOW_MS);
+        let digest = DemandReport { number: 1, waiting, ..DemandReport::default() };
+        leader.state.demand.report_received("vm".into(), digest, NOW_MS);
         leader.plan(&engines, NOW_MS);
         let group = |name: &String| {
             let adapter = Loadable::new(&"a".into(), Some(&name.as_str().into()));
-            leader.state.sharing.group_of(&adapter).cloned()
+            leader.state.sharing.assigned_group(&adapter).cloned()
         };
         let here = names.iter().filter(|name| group(name) == Some("z1".into())).count();
         assert!((4..=16).contains(&here), "{here} of 20");
@@ -240,8 +240,8 @@
         leader.wish("d");
         leader.plan(&engines, NOW_MS);
         let later_ms = NOW_MS + 1_500;
-        let none = DemandDigest { number: 2, ..DemandDigest::default() };
-        leader.state.demand.told("vm".into(), none, NOW_MS + 100);
+        let none = DemandReport { number: 2, ..DemandReport::default() };
+        leader.state.demand.report_received("vm".into(), none, NOW_MS + 100);
         leader.plan(&engines, NOW_MS + 200);
         let waiting = Waiting {
             priority: 1,
@@ -250,8 +250,8 @@
             adapter: None,
             count: 1,
         };
-        let digest = DemandDigest { number: 3, waiting: vec![waiting], ..DemandDigest::default() };
-        leader.state.demand.told("vm".into(), digest, later_ms);
+        let digest = DemandReport { number: 3, waiting: vec![waiting], ..DemandReport::default() };
+        leader.state.demand.report_received("vm".into(), digest, later_ms);
         leader.plan(&engines, later_ms);
         assert_eq!(leader.state.demand.planned(&"vm".into()), 2);
     }
@@ -261,13 +261,13 @@
         let mut groups = Groups::default();
         let (one, other) = (DomainName::from("z1"), DomainName::from("z2"));
         groups.update(domains(&["z1", "z2"]), 90, 0);
-        assert_eq!(groups.home(&one), groups.home(&other));
+        assert_eq!(groups.home_group(&one), groups.home_group(&other));
         groups.update(domains(&["z1", "z2"]), 256, 0);
-        assert_eq!((groups.home(&one), groups.home(&other)), (&one, &other));
+        assert_eq!((groups.home_group(&one), groups.home_group(&other)), (&one, &other));
         groups.update(domains(&["z1", "z2"]), 110, 0);
-        assert_eq!(groups.home(&other), &other, "some engines less change nothing");
+        assert_eq!(groups.home_group(&other), &other, "some engines less change nothing");
         groups.update(domains(&["z1", "z2"]), 90, 0);
-        assert_eq!(groups.home(&other), &one);
+        assert_eq!(groups.home_group(&other), &one);
     }
 
     // A leader that counted one group less lent half as much again of each team's limit.
@@ -275,21 +275,21 @@
         let mut groups = Groups::default();
         groups.update(domains(&["z1", "z2", "z3"]), 9, 0);
         groups.update(domains(&["z1", "z2"]), 6, 1_000);
-        assert_eq!(groups.most(), 3);
+        assert_eq!(groups.max_groups(), 3);
     }
 
     // Wrong once: daemons take leases before the engines have entered the list, so each domain's
     // led its own, and nine engines had three leaders (worth 0.743 to 0.592 on a quiet day).
     before_engines_are_known_all_ask_the_same_leader => {
-        let mut groups = Groups::among(domains(&["z1", "z2"]));
+        let mut groups = Groups::with_domains(domains(&["z1", "z2"]));
         let (one, other) = (DomainName::from("z1"), DomainName::from("z2"));
-        assert_eq!((groups.home(&one), groups.home(&other)), (&one, &one));
+        assert_eq!((groups.home_group(&one), groups.home_group(&other)), (&one, &one));
         groups.update(domains(&["z1", "z2"]), 9, 0);
-        assert_eq!(groups.home(&other), &one);
+        assert_eq!(groups.home_group(&other), &one);
         // They enter one after the other, and may still prove to be many.
         let leader = BTreeSet::from([one.clone()]);
         groups.update(domains(&["z1", "z2"]), 100, 2_000);
-        let wait_ms = |now_ms| groups.others_first_ms(&other, &one, &leader, now_ms);
+        let wait_ms = |now_ms| groups.takeover_delay_ms(&other, &one, &leader, now_ms);
         // Wrong once: a wait counts from when the lease was free, 1.4 s before, and so was over
         // while engines still came: one daemon took the leases of all five domains.
         assert!((2_000..3_500).all(|now_ms| wait_ms(now_ms).is_none()));
@@ -301,8 +301,8 @@
         let (one, other) = (DomainName::from("z1"), DomainName::from("z2"));
         groups.update(domains(&["z1", "z2"]), 9, 0);
         let leader = BTreeSet::from([one.clone()]);
-        assert_eq!(groups.others_first_ms(&other, &one, &leader, 5_000), Some(0));
-        let waits_ms = groups.others_first_ms(&other, &other, &BTreeSet::new(), 5_000);
+        assert_eq!(groups.takeover_delay_ms(&other, &one, &leader, 5_000), Some(0));
+        let waits_ms = groups.takeover_delay_ms(&other, &other, &BTreeSet::new(), 5_000);
         assert!(waits_ms.is_some_and(|ms| ms > 3_000), "{waits_ms:?}");
     }
 
@@ -310,7 +310,7 @@
         let mut groups = Groups::default();
         groups.update(domains(&["z1", "z2", "z3", "z4"]), 256, 0);
         let wait_ms = |domain: &str, led: &[&str]| {
-            groups.others_first_ms(&"z4".into(), &domain.into(), &domains(led), 5_000)
+            groups.takeover_delay_ms(&"z4".into(), &domain.into(), &domains(led), 5_000)
         };
         assert_eq!(wait_ms("z1", &[]), None, "a daemon that leads nothing knows nothing of it");
         assert!(wait_ms("z1", &["z1"]) < wait_ms("z2", &["z2", "z3"]));
@@ -333,11 +333,11 @@
     a_new_leader_goes_by_the_count_of_the_last_until_its_own_is_complete => {
         let mut count = MemberCount::default();
         count.begin(0, 1_000);
-        count.told("a".into(), 1_500);
+        count.report_received("a".into(), 1_500);
         assert_eq!(count.count(1_600), 0, "the others have not been heard yet");
         assert_eq!(count.count(3_100), 1);
         count.begin(59, 10_000);
-        (0..20).for_each(|number| count.told(format!("v{number}").into(), 10_100));
+        (0..20).for_each(|number| count.report_received(format!("v{number}").into(), 10_100));
         assert_eq!(count.count(10_200), 59);
         assert_eq!(count.count(41_000), 0, "nobody has told anything lately");
     }
--- a/crates/trestle-dispatch/tests/traffic.rs
+++ b/crates/trestle-dispatch/tests/traffic.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{AdapterName, EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
-    admission::{self, Admission, Outlook, Reason, Wait},
+    admission::{self, Admission, Forecast, Reason, Wait},
     beliefs::Beliefs,
-    choice::{Known, Need, choose},
+    choice::{ChoiceInputs, Requirements, choose},
     replicas::{EngineNote, ReplicaView},
     retry_share::{RetryBounds, RetryShare},
     route::{Route, RouteKind, RouteTable, Target},
@@ -43,8 +43,9 @@
     fn choose(&self, model: Option<&str>, adapter: Option<&str>, lot: u64) -> Option<String> {
         let (model, adapter) = (model.map(ModelName::from), adapter.map(AdapterName::from));
         let service = ServiceName::from("s");
-        let known = Known { beliefs: &self.beliefs, replicas: self.replicas(), now_ms: 1_000 };
-        let need = Need {
+        let known =
+            ChoiceInputs { local_view: &self.beliefs, replicas: self.replicas(), now_ms: 1_000 };
+        let need = Requirements {
             service: &service,
             model: model.as_ref(),
             adapter: adapter.as_ref(),
@@ -58,7 +59,7 @@
 /// Decides for a request whose model will be ready in a time.
 fn decide(route: &Route, elapsed_ms: u64, allowed_ms: u64, ready_in_ms: Option<u64>) -> Admission {
     let wait = Wait::new(route, elapsed_ms, allowed_ms);
-    let outlook = ready_in_ms.map_or(Outlook::Unknown, |in_ms| Outlook::Ready { in_ms });
+    let outlook = ready_in_ms.map_or(Forecast::Unknown, |in_ms| Forecast::Ready { in_ms });
     admission::decide(wait, outlook)
 }
 
@@ -215,11 +216,11 @@
     one_that_nothing_here_takes_though_it_is_called_ready_is_refused_soon => {
         let wait = Wait::new(&route("/", STREAM), 300, 15_000);
         assert!(matches!(
-            admission::decide(wait, Outlook::Here { for_ms: 100 }),
+            admission::decide(wait, Forecast::Here { for_ms: 100 }),
             Admission::Wait { .. }
         ));
         assert!(matches!(
-            admission::decide(wait, Outlook::Here { for_ms: 900 }),
+            admission::decide(wait, Forecast::Here { for_ms: 900 }),
             Admission::Refuse { reason: Reason::Disagreement, .. }
         ));
     }
@@ -227,18 +228,18 @@
     without_a_leader_nobody_waits_and_before_its_answer_everybody => {
         let wait = Wait::new(&route("/", STREAM), 0, 15_000);
         let decided = |outlook| admission::decide(wait, outlook);
-        assert!(matches!(decided(Outlook::Unheard), Admission::Wait { .. }));
-        assert!(matches!(decided(Outlook::Unknown), Admission::Refuse { .. }));
+        assert!(matches!(decided(Forecast::NotReported), Admission::Wait { .. }));
+        assert!(matches!(decided(Forecast::Unknown), Admission::Refuse { .. }));
     }
 
     callers_stay_for_the_longest_of_their_three_times => {
         let mut route = route("/", STREAM);
-        assert_eq!(admission::caller_stays_ms(&route, 25_000), 10_000);
+        assert_eq!(admission::caller_timeout_ms(&route, 25_000), 10_000);
         route.objective_ms = 400;
-        assert_eq!(admission::caller_stays_ms(&route, 25_000), 2_400);
+        assert_eq!(admission::caller_timeout_ms(&route, 25_000), 2_400);
         route.pause_ms = 10;
-        assert_eq!(admission::caller_stays_ms(&route, 25_000), 2_000);
-        assert_eq!(admission::caller_stays_ms(&route, 1_000), 1_000);
+        assert_eq!(admission::caller_timeout_ms(&route, 25_000), 2_000);
+        assert_eq!(admission::caller_timeout_ms(&route, 1_000), 1_000);
     }
 
     // BUDGET, malabar-sheets mix 659560929677: 180 further sends where 171 were allowed.
--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/answering.rs
@@ -23,7 +23,7 @@
         let WireAsking { vm, group, is_leader, digests, have, .. } = asking;
         let member = VmName::from(vm.as_str());
         if !is_leader {
-            self.members.told(member.clone(), now_ms);
+            self.members.report_received(member.clone(), now_ms);
         }
         let teller = if is_leader { format!("{vm} as a leader").into() } else { member };
         let mut pending = Pending::new(teller, group, is_leader, have, reply, now_ms);
@@ -39,10 +39,10 @@
             pending.told(&service, &digest);
             let known = self.services.entry(service.clone()).or_default();
             if is_leader {
-                known.demand.told_by_leader(pending.teller.clone(), digest, now_ms);
+                known.demand.leader_report_received(pending.teller.clone(), digest, now_ms);
             } else {
                 self.others.arrived(&service, &digest);
-                known.demand.told(pending.teller.clone(), digest, now_ms);
+                known.demand.report_received(pending.teller.clone(), digest, now_ms);
             }
         }
         // The answer then says what becomes of the requests that wait.
@@ -126,7 +126,7 @@
             });
             view.planned = state.demand.planned(&pending.teller);
             view.daemons = daemons as u32;
-            view.askers = self.members.asking() as u32;
+            view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
         }
         WireSynced {
--- a/crates/trestle-entry/src/control/answers.rs
+++ b/crates/trestle-entry/src/control/answers.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{ModelName, ServiceName, VmName};
 use trestle_dispatch::{
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     loadable::Loadable,
     placement_log::PlacementPosition,
 };
@@ -90,7 +90,7 @@
     }
 
     /// Notes what it told of a service.
-    pub(crate) fn told(&mut self, service: &ServiceName, digest: &DemandDigest) {
+    pub(crate) fn told(&mut self, service: &ServiceName, digest: &DemandReport) {
         let wishes: BTreeSet<Loadable> = digest.waiting.iter().map(Waiting::loadable).collect();
         let models = wishes.iter().map(|wish| wish.model.clone()).collect();
         self.told.insert(service.clone(), Told { number: digest.number, models, wishes });
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -7,7 +7,7 @@
 use trestle_dispatch::{
     change::Change,
     endpoint::{Endpoint, EngineReport},
-    orders::{Next, Order, OrderAnswer, OrderChain},
+    orders::{NextStep, Order, OrderAnswer, OrderChain},
 };
 
 /// Time for an engine to answer an order or a question; it answers at once.
@@ -70,20 +70,20 @@
         if !daemon.is_listed_start(&endpoint) {
             break Some(STARTED_AGAIN.to_owned());
         }
-        if matches!(next, Next::Send(..)) && !daemon.is_usable_start(&endpoint) {
+        if matches!(next, NextStep::Send(..)) && !daemon.is_usable_start(&endpoint) {
             break Some(LEAVES.to_owned());
         }
         match next {
-            Next::Done => break None,
-            Next::Failed(failure) => break Some(format!("{failure:?}")),
-            Next::Report => {
+            NextStep::Done => break None,
+            NextStep::Failed(failure) => break Some(format!("{failure:?}")),
+            NextStep::Report => {
                 let report = ask(&daemon, &client, &endpoint).await;
                 if report.as_ref().is_some_and(|report| !report.is_of(&endpoint)) {
                     break Some(STARTED_AGAIN.to_owned());
                 }
                 chain.reported(report.as_ref(), daemon.knowledge.now_ms());
             }
-            Next::Send(order, count) => {
+            NextStep::Send(order, count) => {
                 let Some(answer) = give(&daemon, &client, &endpoint, &order, count).await else {
                     break Some("the lease has run out".to_owned());
                 };
--- a/crates/trestle-entry/src/control/leaders.rs
+++ b/crates/trestle-entry/src/control/leaders.rs
@@ -87,7 +87,7 @@
         engines: &BTreeMap<EndpointName, u64>,
         now_ms: u64,
     ) {
-        self.daemon.with_order_log(|log| log.heard(engines, now_ms));
+        self.daemon.with_order_log(|log| log.quiet_times_received(engines, now_ms));
         self.leases.heard(group, resignation, now_ms);
     }
 }
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -62,7 +62,7 @@
         Self {
             incarnation: fastrand::u64(1..),
             domain: daemon.settings.domain.as_str().into(),
-            groups: Groups::among(configured),
+            groups: Groups::with_domains(configured),
             home: None,
             by_group: BTreeMap::new(),
             deciders: Deciders::default(),
@@ -144,7 +144,7 @@
         if now_ms < self.next_read_ms {
             return;
         }
-        self.to_read.insert(self.groups.home(&self.domain).clone());
+        self.to_read.insert(self.groups.home_group(&self.domain).clone());
         let others_read_ms = *self.others_read_ms.get_or_insert(now_ms + OTHERS_READ_GAP_MS);
         let reads_all = self.is_acting || now_ms >= others_read_ms;
         if reads_all {
@@ -195,7 +195,7 @@
         let led = self.led(now_ms);
         let millicores = self.daemon.settings.millicores();
         for (group, leasing) in &mut self.by_group {
-            let others_first_ms = self.groups.others_first_ms(group, &self.domain, &led, now_ms);
+            let others_first_ms = self.groups.takeover_delay_ms(group, &self.domain, &led, now_ms);
             let home_since_ms =
                 self.home.as_ref().filter(|(home, _)| home == group).map(|(_, since_ms)| *since_ms);
             let may_take = |free_from_ms: u64, last: Option<&LeaseRow>| {
@@ -209,7 +209,7 @@
                     Some(home_since_ms) => {
                         let ready_since_ms = ready_since_ms.max(home_since_ms);
                         let candidate = Candidate { millicores, age_ms: now_ms, ready_since_ms };
-                        candidate.takes_from_ms(free_from_ms, last)
+                        candidate.may_acquire_from_ms(free_from_ms, last)
                     }
                     None => free_from_ms,
                 };
@@ -218,7 +218,7 @@
             leasing.look(may_take, now_ms);
         }
         let held = self.daemon.order_permits.held(now_ms);
-        let groups = self.groups.most();
+        let groups = self.groups.max_groups();
         self.daemon.with_lender(|lender| {
             lender.set_sharing(groups);
             lender.set_leases(&held, now_ms);
@@ -237,7 +237,7 @@
             .knowledge
             .with(|beliefs| (beliefs.directory.domains(), beliefs.directory.iter().count()));
         self.groups.update(domains, engines, now_ms);
-        let home = self.groups.home(&self.domain).clone();
+        let home = self.groups.home_group(&self.domain).clone();
         if self.home.as_ref().is_none_or(|(known, _)| *known != home) {
             self.home = Some((home.clone(), now_ms));
             self.to_read.insert(home.clone());
@@ -336,7 +336,7 @@
         if let Some(here) = leading.find(|leader| matches!(leader, Leader::Here { .. })) {
             return here;
         }
-        let home = self.groups.home(&self.domain);
+        let home = self.groups.home_group(&self.domain);
         let at_home = self.by_group.get(home).map(|leasing| leasing.leader(now_ms));
         let at_home = at_home.into_iter().filter(|leader| *leader != Leader::Nobody);
         let vm = self.daemon.settings.vm.as_str();
--- a/crates/trestle-entry/src/control/leasing.rs
+++ b/crates/trestle-entry/src/control/leasing.rs
@@ -41,7 +41,7 @@
     pub(crate) fn new(daemon: Arc<Daemon>, group: DomainName, incarnation: u64) -> Self {
         let settings = &daemon.settings;
         let identity = Identity {
-            machine: format!("{}@{}", settings.vm, settings.address),
+            vm: format!("{}@{}", settings.vm, settings.address),
             address: daemon.peers_address(),
             millicores: settings.millicores(),
             incarnation,
@@ -50,7 +50,7 @@
             renew_ms: RENEW_MS,
             hold_ms: HOLD_MS,
             quiet_ms: settings.bounds.order_quiet_ms,
-            flight_ms: FLIGHT_MS,
+            in_flight_ms: FLIGHT_MS,
         };
         let lease = Lease::new(identity, timing);
         Self { daemon, group, lease, is_acting: false, is_leaving: false }
@@ -87,7 +87,7 @@
             WriteOutcome::Written(version) => Some(*version),
             _ => None,
         };
-        self.lease.written(write, version, sent_ms, now_ms);
+        self.lease.write_finished(write, version, sent_ms, now_ms);
         match outcome {
             WriteOutcome::Conflict(Some(row)) => {
                 let version = row.version;
@@ -135,18 +135,18 @@
 
     /// Takes what a leader says that has stepped down.
     pub(crate) fn heard(&mut self, resignation: Resignation, now_ms: u64) {
-        self.lease.heard(resignation, now_ms);
+        self.lease.resignation_received(resignation, now_ms);
     }
 
     /// Gives the lease up, and takes it no more.
     pub(crate) fn leave(&mut self) {
         self.is_leaving = true;
-        self.lease.leave();
+        self.lease.release();
     }
 
     /// Whether nothing is left to write before the daemon may end.
     pub(crate) fn has_left(&self) -> bool {
-        self.lease.has_left()
+        self.lease.is_release_done()
     }
 
     /// Whether this daemon holds the lease.
--- a/crates/trestle-entry/src/control/others.rs
+++ b/crates/trestle-entry/src/control/others.rs
@@ -7,7 +7,7 @@
 };
 use trestle_core::names::{DomainName, EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     endpoint::Endpoint,
     loadable::Loadable,
     placement_log::PlacementMirror,
@@ -72,7 +72,7 @@
     }
 
     /// Notes requests that arrived at this leader's daemons.
-    pub(crate) fn arrived(&mut self, service: &ServiceName, digest: &DemandDigest) {
+    pub(crate) fn arrived(&mut self, service: &ServiceName, digest: &DemandReport) {
         for other in self.by_address.values_mut() {
             let known = other.services.entry(service.clone()).or_default();
             for (model, count) in &digest.arrivals {
@@ -175,15 +175,16 @@
         let is_its_engine = |name: &EndpointName| {
             directory.get(name).is_some_and(|endpoint| led.contains(&endpoint.domain))
         };
-        let is_its_wish =
-            |wish: &Loadable| state.sharing.group_of(wish).is_some_and(|group| led.contains(group));
-        let mut digest = state.demand.digest_for(is_its_engine, is_its_wish, now_ms);
+        let is_its_wish = |wish: &Loadable| {
+            state.sharing.assigned_group(wish).is_some_and(|group| led.contains(group))
+        };
+        let mut digest = state.demand.report_for(is_its_engine, is_its_wish, now_ms);
         let known = self.services.entry(service.clone()).or_default();
         known.number += 1;
         known.asked = digest.waiting.iter().map(Waiting::loadable).collect();
         digest.number = known.number;
         digest.arrivals = std::mem::take(&mut known.arrivals);
-        digest.past = (!known.has_remembered).then(|| state.demand.own_past(now_ms));
+        digest.past = (!known.has_remembered).then(|| state.demand.own_history(now_ms));
         let (log, placements) = (known.placements.position().log, &known.placements);
         WireDigest::new(service, digest, log, |name| placements.number(name))
     }
@@ -208,7 +209,7 @@
             if view.planned >= known.number {
                 known.planned.clone_from(&known.asked);
             }
-            known.placements.take(std::mem::take(&mut view.placements).into());
+            known.placements.apply_delta(std::mem::take(&mut view.placements).into());
             known.view = view.into_view(&known.placements);
         }
     }
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -8,7 +8,7 @@
 use trestle_core::names::{DomainName, EndpointName, ServiceName};
 use trestle_dispatch::{
     endpoint::Endpoint,
-    sharing::{self, Foreign},
+    sharing::{self, ForeignEngine},
 };
 
 /// Time until a new leader has read the engines, where that is not done yet.
@@ -49,8 +49,8 @@
                 continue;
             }
             let (own, _) = by_leader(self.daemon.usable(service), &led);
-            known.share(spec, &own, now_ms);
-            groups.extend(known.unplanned_elsewhere(now_ms));
+            known.assign_groups(spec, &own, now_ms);
+            groups.extend(known.groups_to_plan(now_ms));
         }
         self.daemon.knowledge.forward(self.others.addresses(&groups));
     }
@@ -79,7 +79,7 @@
             for (endpoint, change, chain) in changes {
                 change::start(&self.daemon, service.clone(), endpoint, change, chain);
             }
-            groups.extend(known.unplanned_elsewhere(now_ms));
+            groups.extend(known.groups_to_plan(now_ms));
         }
         self.daemon.knowledge.forward(self.others.addresses(&groups));
     }
@@ -108,17 +108,17 @@
     led: &BTreeSet<DomainName>,
     foreign: Engines,
     now_ms: u64,
-) -> sharing::Others {
+) -> sharing::OtherLeaders {
     let notes = others.notes(service, now_ms);
     let engines = foreign.into_iter().map(|(name, endpoint)| {
         let (holds, running) = match notes.get(&name) {
             Some(note) => (note.holds.clone(), note.running),
             None => (endpoint.held.clone(), 0),
         };
-        (name, Foreign { endpoint, holds, running })
+        (name, ForeignEngine { endpoint, holds, running })
     });
     let engines = engines.collect();
-    let mut sharers = sharing::Others { led: led.clone(), engines, ..Default::default() };
+    let mut sharers = sharing::OtherLeaders { led: led.clone(), engines, ..Default::default() };
     for other in others.live(now_ms) {
         sharers.leaders += 1;
         sharers.live.extend(other.led().iter().cloned());
@@ -127,7 +127,7 @@
         let coming = other.last_plan(service, now_ms).into_iter().flat_map(|(ready, _)| ready);
         let coming = coming.filter(|(loadable, ms)| loadable.adapter.is_none() && **ms > 0);
         let coming = coming.map(|(loadable, _)| (loadable.model.clone(), group.clone()));
-        sharers.coming.extend(coming);
+        sharers.loading.extend(coming);
     }
     sharers
 }
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/telling.rs
@@ -77,7 +77,7 @@
 impl Telling {
     /// Takes what is known now, unless what was told last is fresh enough.
     pub(crate) fn refresh(&mut self, known: Known<'_>) {
-        let news = known.state.news() + known.others.news();
+        let news = known.state.revision() + known.others.news();
         let told_ms = if self.news == news { TOLD_MS } else { NEWS_MS };
         if self.at_ms > 0 && known.now_ms < self.at_ms + told_ms {
             return;
@@ -95,7 +95,7 @@
     pub(crate) fn arrived(&mut self) -> [(bool, BTreeSet<Loadable>); 2] {
         let [all, own] = self.noted;
         self.noted = [self.all.sequence(), self.own.sequence()];
-        [(false, self.all.arrived_since(all)), (true, self.own.arrived_since(own))]
+        [(false, self.all.loaded_since(all)), (true, self.own.loaded_since(own))]
     }
 
     /// What an asker is told. What is about other leaders' engines, these tell each other
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -13,7 +13,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use trestle_core::names::{DomainName, ServiceName};
 use trestle_dispatch::{
-    asked::Asked, beliefs::Beliefs, pace::Pace, placement_log::PlacementMirror,
+    asked::Asked, beliefs::Beliefs, placement_log::PlacementMirror, sync_intervals::SyncIntervals,
 };
 use trestle_wire::{
     relay::{WireHave, WireRelay},
@@ -53,7 +53,7 @@
         // A question about wishes that the leader knows waits there until one has arrived. Let a
         // new one not wait behind it; but the answer about a new one must be heard.
         let has_new = has_unanswered(&daemon);
-        let least_ms = pace(&daemon).least_ms();
+        let least_ms = pace(&daemon).min_ms();
         let step = async { Some(talk.step(&daemon).await) };
         let interrupted = async {
             if has_new {
@@ -79,11 +79,11 @@
             daemon.knowledge.with(|beliefs| beliefs.forget_replicas(has_read_entries));
         }
         let pace = pace(&daemon);
-        let least_ms = pace.least_ms();
+        let least_ms = pace.min_ms();
         Timer::after(Duration::from_millis(least_ms)).await;
         let next_ms = match synced {
             true if is_waiting(&daemon) => least_ms,
-            true => pace.calm_ms(),
+            true => pace.idle_ms(),
             // The leader may only have been slow, and what it has to say is due.
             false => pace.waiting_ms(),
         };
@@ -94,9 +94,9 @@
     }
 }
 
-fn pace(daemon: &Daemon) -> Pace {
+fn pace(daemon: &Daemon) -> SyncIntervals {
     let askers = daemon.knowledge.with(|beliefs| beliefs.askers);
-    Pace::of(askers, daemon.freshness.shortest_bound_ms())
+    SyncIntervals::new(askers, daemon.freshness.shortest_bound_ms())
 }
 
 fn has_unanswered(daemon: &Daemon) -> bool {
@@ -223,7 +223,7 @@
         for (service, mut view) in views {
             let service = ServiceName::from(service);
             let placements = self.placements.entry(service.clone()).or_default();
-            placements.take(std::mem::take(&mut view.placements).into());
+            placements.apply_delta(std::mem::take(&mut view.placements).into());
             let planned = view.planned;
             let view = view.into_view(placements);
             is_news |=
@@ -249,7 +249,7 @@
     if let Some(age_ms) = relay.config_age_ms.filter(|_| taken) {
         daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
     }
-    let next_ms = pace(daemon).calm_ms();
+    let next_ms = pace(daemon).idle_ms();
     let now_ms = daemon.knowledge.now_ms();
     let age_ms = relay.age_ms + now_ms.saturating_sub(asked_ms);
     let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
--- a/crates/trestle-entry/src/traffic/patience.rs
+++ b/crates/trestle-entry/src/traffic/patience.rs
@@ -43,7 +43,7 @@
 
     /// Whether the request could go to another endpoint at all.
     fn may_move(&self) -> bool {
-        self.task.route.is_idempotent() && self.sends.has_more(&self.task.route)
+        self.task.route.is_idempotent() && self.sends.has_attempt_left(&self.task.route)
     }
 
     fn has_other(&self) -> bool {
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -11,8 +11,8 @@
 use http::Response;
 use std::sync::Arc;
 use trestle_dispatch::{
-    patience,
     sends::{SendEnd, Sends},
+    wait_limit,
 };
 
 /// What became of a request.
@@ -39,11 +39,11 @@
         }
         match send(task, taken, &mut sends).await {
             Ok(answer) if answer.response.status().is_server_error() && is_repeatable => {
-                sends.ended(SendEnd::Failed, task.daemon.knowledge.now_ms());
+                sends.record_end(SendEnd::Failed, task.daemon.knowledge.now_ms());
                 failed_answer = Some(answer);
             }
             Ok(answer) => break Ok(answer),
-            Err(unanswered) => sends.ended(unanswered.end(), task.daemon.knowledge.now_ms()),
+            Err(unanswered) => sends.record_end(unanswered.end(), task.daemon.knowledge.now_ms()),
         }
         if task.is_over() || (sends.may_have_run && !is_repeatable) {
             break Err(Failure::MayHaveRun);
@@ -69,9 +69,9 @@
     sends: &mut Sends,
 ) -> Result<WholeAnswer, Unanswered> {
     task.daemon.metrics.send(sends.count == 0);
-    sends.sent(&taken.endpoint.name);
+    sends.record_send(&taken.endpoint.name);
     // While another send is left, one that is no longer on time makes way for it.
-    let patience = Patience { task, sends, slice_ms: patience::answer_ms(&task.route) };
+    let patience = Patience { task, sends, slice_ms: wait_limit::answer_ms(&task.route) };
     let attempt = attempt::send(task, taken, None, patience).await?;
     attempt.whole(task, task.left_ms()).await
 }
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -17,7 +17,7 @@
 use trestle_dispatch::{
     admission::Reason,
     endpoint::Endpoint,
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::Sends,
 };
 
@@ -75,7 +75,7 @@
             Selection::Send(endpoint) => {
                 return Ok(Taken { endpoint, task: Arc::clone(task), is_open: false });
             }
-            Selection::Try => {
+            Selection::RequestTrial => {
                 try_out(task).await?;
                 continue;
             }
@@ -86,17 +86,17 @@
                 let why = reason.map_or("no_endpoint", Reason::name);
                 return Err(Failure::NotRun { retry_after_ms, why });
             }
-            Selection::Pay => {
+            Selection::ChargeQuota => {
                 payment::pay(task).await?;
                 continue;
             }
-            Selection::AskPlace(endpoint) => {
+            Selection::RequestSendPermit(endpoint) => {
                 if let Some(until_ms) = places::ask(&task.daemon, &endpoint, &task.head.id).await {
                     task.place.take(endpoint.life(), until_ms);
                 }
                 continue;
             }
-            Selection::HeldBack(held_back) => {
+            Selection::Throttled(held_back) => {
                 let retry_after_ms = held_back.for_ms;
                 // A rest is over soon; what takes less for longer is brought in elsewhere.
                 if held_back.is_limited {
@@ -133,9 +133,10 @@
     let now_ms = task.daemon.knowledge.now_ms();
     let place = task.place.life(now_ms);
     task.daemon.knowledge.with(|beliefs| {
-        let asking = Asking { wish, place: place.as_ref(), ..task.asking() };
+        let asking =
+            RequestContext { demand_id: wish, send_permit: place.as_ref(), ..task.asking() };
         let selection = selection::select(beliefs, asking, sends, lot, now_ms);
-        if let Selection::HeldBack(held_back) = &selection {
+        if let Selection::Throttled(held_back) = &selection {
             task.note_held_back(beliefs, &held_back.life, now_ms);
         }
         if let Selection::Send(endpoint) = &selection {
@@ -149,7 +150,7 @@
 /// Whether another endpoint than the last could take the request over now.
 pub(crate) fn has_other(task: &Task, sends: &Sends) -> bool {
     let now_ms = task.daemon.knowledge.now_ms();
-    let look = |beliefs: &mut _| selection::has_other(beliefs, task.asking(), sends, now_ms);
+    let look = |beliefs: &mut _| selection::has_alternative(beliefs, task.asking(), sends, now_ms);
     task.daemon.knowledge.with(look)
 }
 
@@ -160,7 +161,7 @@
     let number = daemon.next_number();
     daemon.knowledge.with(|beliefs| {
         let policy = &beliefs.policy;
-        let wish = selection::wish_of_returning(policy, task.asking(), retry_after_ms, now_ms);
+        let wish = selection::returning_demand(policy, task.asking(), retry_after_ms, now_ms);
         if let Some(wish) = wish {
             beliefs.asked_of(&task.service).returning.insert(number, wish);
         }
@@ -191,7 +192,7 @@
         let number = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
         daemon.knowledge.with(|beliefs| {
-            if let Some(wish) = selection::wish(task.asking(), due_ms) {
+            if let Some(wish) = selection::pending_demand(task.asking(), due_ms) {
                 beliefs.asked_of(&task.service).waiting.insert(number, wish);
             }
         });
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -24,8 +24,8 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 use trestle_dispatch::{
-    patience,
     sends::{SendEnd, Sends},
+    wait_limit,
 };
 
 /// Sees a stream through to its first event; the rest goes on in the body.
@@ -137,7 +137,7 @@
                 continue;
             }
             let parts = self.begin(attempt);
-            match self.step(patience::first_event_ms(&self.task.route)).await {
+            match self.step(wait_limit::first_event_ms(&self.task.route)).await {
                 Step::Events(first) => return Ok(Opened::Events(Box::new(parts), first)),
                 Step::End => return Ok(Opened::Events(Box::new(parts), Bytes::new())),
                 Step::Broken(breach) => {
@@ -175,13 +175,13 @@
             return Err(Some(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why }));
         }
         self.task.daemon.metrics.send(self.sends.count == 0);
-        self.sends.sent(&taken.endpoint.name);
+        self.sends.record_send(&taken.endpoint.name);
         let last_event_id = self.buffer.last_id();
-        let patience = self.patience(patience::first_event_ms(&self.task.route));
+        let patience = self.patience(wait_limit::first_event_ms(&self.task.route));
         match attempt::send(&self.task, taken, last_event_id, patience).await {
             Ok(attempt) => Ok(attempt),
             Err(unanswered) => {
-                self.sends.ended(unanswered.end(), self.task.daemon.knowledge.now_ms());
+                self.sends.record_end(unanswered.end(), self.task.daemon.knowledge.now_ms());
                 let is_final = unanswered.end().may_have_run() && !self.is_resumable();
                 Err(is_final.then_some(Failure::MayHaveRun))
             }
@@ -250,7 +250,7 @@
     }
 
     fn note_failed(&mut self) {
-        self.sends.ended(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
+        self.sends.record_end(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
     }
 
     fn note_broken(&mut self, breach: &Breach) {
@@ -314,7 +314,7 @@
             return Some((Ok(Frame::data(first)), self));
         }
         loop {
-            match self.flow.step(patience::next_event_ms(&self.flow.task.route)).await {
+            match self.flow.step(wait_limit::next_event_ms(&self.flow.task.route)).await {
                 Step::Events(events) => {
                     self.note_events();
                     return Some((Ok(Frame::data(events)), self));
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -22,7 +22,7 @@
     identity::Identity,
     request::{Forwarded, RequestHead},
     route::Route,
-    selection::Asking,
+    selection::RequestContext,
     sends::Sends,
 };
 
@@ -85,17 +85,17 @@
 
 impl Task {
     /// The request as selection looks at it.
-    pub(crate) fn asking(&self) -> Asking<'_> {
-        Asking {
+    pub(crate) fn asking(&self) -> RequestContext<'_> {
+        RequestContext {
             route: &self.route,
             service: &self.service,
             head: &self.head,
             allowed_ms: self.allowed_ms,
             elapsed_ms: self.elapsed_ms(),
-            wish: None,
+            demand_id: None,
             is_trial: self.trial.is_begun(),
-            is_paid: self.payment.is_made(self, self.daemon.knowledge.now_ms()),
-            place: None,
+            has_quota: self.payment.is_made(self, self.daemon.knowledge.now_ms()),
+            send_permit: None,
         }
     }
 
@@ -103,7 +103,7 @@
     pub(crate) fn take_next(&self, sends: &mut Sends) -> bool {
         let knowledge = &self.daemon.knowledge;
         let now_ms = knowledge.now_ms();
-        knowledge.with(|beliefs| sends.take_next(&self.route, &self.service, beliefs, now_ms))
+        knowledge.with(|beliefs| sends.reserve_next(&self.route, &self.service, beliefs, now_ms))
     }
 
     /// What all attempts of the request have in common, for logs.
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -158,7 +158,7 @@
             trials.end(request, &vm, trial.number);
             return WireTrialAnswer::Runs;
         }
-        trials.decides_since(since_ms);
+        trials.set_leader_since(since_ms);
         match trials.begin(request, vm, trial.number, now_ms) {
             Ok(()) => WireTrialAnswer::Runs,
             Err(for_ms) => WireTrialAnswer::Waits { for_ms },
--- a/crates/trestle-lab/src/control/asking.rs
+++ b/crates/trestle-lab/src/control/asking.rs
@@ -12,8 +12,8 @@
     endpoint::Held,
     groups,
     lease::LeaseRow,
-    pace::Pace,
     placement_log::{PlacementDelta, PlacementPosition},
+    sync_intervals::SyncIntervals,
 };
 use trestle_wire::placements::WireDelta;
 
@@ -57,7 +57,7 @@
             let is_other = row.holder != vm.name.as_str() && !row.is_released;
             is_other.then(|| self.vms.iter().position(|other| other.name.as_str() == row.holder))?
         };
-        let home = vm.groups.home(&vm.domain);
+        let home = vm.groups.home_group(&vm.domain);
         let mut others: Vec<&DomainName> =
             vm.groups.all().iter().filter(|group| *group != home).collect();
         others.sort_by_key(|group| groups::rank(vm.name.as_str(), group));
@@ -86,7 +86,7 @@
         let vm = &mut self.vms[number];
         vm.must_read = true;
         vm.attempt += 1;
-        let (start, pace) = (vm.start, Pace::of(vm.askers, self.plan.bound_ms));
+        let (start, pace) = (vm.start, SyncIntervals::new(vm.askers, self.plan.bound_ms));
         self.push(self.now_us + pace.waiting_ms() * 1_000, Event::Ask { vm: number, start });
     }
 
@@ -114,7 +114,7 @@
         let asker = &self.vms[from];
         let (position, asker_config, asker_name) =
             (asker.mirror.position(), asker.config, asker.name.clone());
-        let home = asker.groups.home(&asker.domain).clone();
+        let home = asker.groups.home_group(&asker.domain).clone();
         let leader = &mut self.vms[to];
         let led = leader.led(now_ms);
         let is_leader = !led.is_empty();
@@ -129,7 +129,7 @@
         let mut delta = PlacementDelta::default();
         let mut config = asker_config;
         if is_leader {
-            leader.members.told(asker_name, now_ms);
+            leader.members.report_received(asker_name, now_ms);
             if asker_config < self.config {
                 config = self.config;
                 bytes += self.plan.config_bytes as f64;
@@ -145,7 +145,7 @@
         let work = bytes / 1e3 * KB_CORE_S;
         let done_us = leader.processor.add(work, self.now_us);
         let sent_us = leader.link.add(bytes, done_us);
-        let askers = leader.members.asking();
+        let askers = leader.members.current();
         let answer = Answer { to: from, question, is_leader, delta, config, askers, rows };
         self.answers.push(answer);
         let number = self.answers.len() - 1;
@@ -171,13 +171,13 @@
             return self.silent(to);
         }
         vm.attempt = 0;
-        vm.mirror.take(std::mem::take(&mut answer.delta));
+        vm.mirror.apply_delta(std::mem::take(&mut answer.delta));
         vm.askers = answer.askers.max(1);
         vm.config = answer.config;
-        let pace = Pace::of(vm.askers, self.plan.bound_ms);
-        vm.relayed_until_ms = now_ms + 3 * pace.calm_ms();
+        let pace = SyncIntervals::new(vm.askers, self.plan.bound_ms);
+        vm.relayed_until_ms = now_ms + 3 * pace.idle_ms();
         let start = vm.start;
-        self.push(self.now_us + pace.calm_ms() * 1_000, Event::Ask { vm: to, start });
+        self.push(self.now_us + pace.idle_ms() * 1_000, Event::Ask { vm: to, start });
     }
 
     /// A daemon that hears no leader follows the store itself.
--- a/crates/trestle-lab/src/control/leasing.rs
+++ b/crates/trestle-lab/src/control/leasing.rs
@@ -60,8 +60,8 @@
         let ready_since_ms = vm.started_ms + 20;
         let groups: Vec<DomainName> = vm.leases.keys().cloned().collect();
         for group in groups {
-            let others_first_ms = vm.groups.others_first_ms(&group, &vm.domain, &led, now_ms);
-            let is_home = group == *vm.groups.home(&vm.domain);
+            let others_first_ms = vm.groups.takeover_delay_ms(&group, &vm.domain, &led, now_ms);
+            let is_home = group == *vm.groups.home_group(&vm.domain);
             let candidate = Candidate {
                 millicores: vm.millicores,
                 age_ms: now_ms - vm.started_ms,
@@ -73,7 +73,7 @@
             }
             let last = lease.seen().map(|(row, _)| row);
             let from_ms = lease.free_from_ms().map(|free_ms| match is_home {
-                true => candidate.takes_from_ms(free_ms, last),
+                true => candidate.may_acquire_from_ms(free_ms, last),
                 false => free_ms,
             });
             let from_ms = from_ms.zip(others_first_ms).map(|(from_ms, wait_ms)| from_ms + wait_ms);
@@ -223,19 +223,19 @@
         match outcome.filter(|_| !is_cut) {
             Some(Outcome::Written(version)) => {
                 of.outage.answered();
-                lease.written(write, Some(version), sent_ms, now_ms);
+                lease.write_finished(write, Some(version), sent_ms, now_ms);
             }
             Some(Outcome::Conflict(row, version)) => {
                 of.outage.answered();
-                lease.written(write, None, sent_ms, now_ms);
+                lease.write_finished(write, None, sent_ms, now_ms);
                 lease.observed(Some(row), version, now_ms);
             }
             Some(Outcome::Refused) => {
                 of.outage.failed(now_ms);
-                lease.written(write, None, sent_ms, now_ms);
+                lease.write_finished(write, None, sent_ms, now_ms);
             }
             None => {
-                lease.written(write, None, sent_ms, now_ms);
+                lease.write_finished(write, None, sent_ms, now_ms);
                 of.must_read = true;
             }
         }
--- a/crates/trestle-lab/src/control/vm.rs
+++ b/crates/trestle-lab/src/control/vm.rs
@@ -145,7 +145,7 @@
         self.link.clear(now_us);
         for group in self.groups.all().clone() {
             let identity = Identity {
-                machine: self.name.to_string(),
+                vm: self.name.to_string(),
                 address: ([127, 0, 0, 1], 7_000).into(),
                 millicores: self.millicores,
                 incarnation: start,
--- a/crates/trestle-lab/src/control/world.rs
+++ b/crates/trestle-lab/src/control/world.rs
@@ -227,7 +227,7 @@
             renew_ms: RENEW_MS,
             hold_ms: HOLD_MS,
             quiet_ms: self.plan.quiet_ms,
-            flight_ms: FLIGHT_MS,
+            in_flight_ms: FLIGHT_MS,
         };
         let mut groups = Groups::default();
         match self.plan.leaders {
--- a/crates/trestle-lab/src/sim/leading.rs
+++ b/crates/trestle-lab/src/sim/leading.rs
@@ -7,12 +7,12 @@
 use std::{collections::BTreeMap, sync::Arc};
 use trestle_core::names::{EndpointName, VmName};
 use trestle_dispatch::{
-    demand::DemandDigest,
+    demand::DemandReport,
     endpoint::{Endpoint, EngineReport, Life},
-    orders::{Next, Order, OrderAnswer, OrderChain},
-    pace::Pace,
+    orders::{NextStep, Order, OrderAnswer, OrderChain},
     replicas::ReplicaView,
     service_state::ServiceState,
+    sync_intervals::SyncIntervals,
 };
 
 /// Shortest time between two plans, as in the daemon.
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Telling {
     term: u64,
-    digest: DemandDigest,
+    digest: DemandReport,
     list_version: usize,
 }
 
@@ -93,13 +93,13 @@
         self.queue.push(at_us, Event::Sync { daemon, turn });
     }
 
-    fn pace(&self, daemon: usize) -> Pace {
-        Pace::of(self.daemons[daemon].beliefs.daemons, BOUND_MS)
+    fn pace(&self, daemon: usize) -> SyncIntervals {
+        SyncIntervals::new(self.daemons[daemon].beliefs.daemons, BOUND_MS)
     }
 
     /// A request has begun to wait: the leader should hear of it soon.
     pub(super) fn hurry_sync(&mut self, daemon: usize) {
-        let least_us = self.pace(daemon).least_ms() * 1_000;
+        let least_us = self.pace(daemon).min_ms() * 1_000;
         let of = &self.daemons[daemon];
         let soon_us = self.now_us.max(of.last_sync_us + least_us);
         // One that is under way is followed by another soon after its answer.
@@ -158,7 +158,7 @@
         }
         let now_ms = self.now_ms();
         let vm = VmName::from(format!("v{daemon:03}"));
-        self.leader.state.demand.told(vm.clone(), telling.digest, now_ms);
+        self.leader.state.demand.report_received(vm.clone(), telling.digest, now_ms);
         if self.now_us >= self.leader.planned_us + PLAN_GAP_US {
             self.plan();
         }
@@ -196,7 +196,7 @@
         let is_news = of.beliefs.learn(self.service.clone(), answer.view, answer.planned, now_ms);
         let is_waiting = !of.waiting.is_empty();
         let pace = self.pace(daemon);
-        let next_ms = if is_waiting { pace.waiting_ms() } else { pace.calm_ms() };
+        let next_ms = if is_waiting { pace.waiting_ms() } else { pace.idle_ms() };
         self.schedule_sync(daemon, self.now_us + next_ms * 1_000);
         if is_news || was_lost {
             self.look_at_waiting(daemon);
@@ -264,7 +264,7 @@
             return self.queue.push(at_us, Event::ChangeStep { term, engine });
         }
         match next {
-            Next::Done | Next::Failed(_) => {
+            NextStep::Done | NextStep::Failed(_) => {
                 if let Some(ended) = self.leader.under_way.remove(&engine) {
                     self.leader.state.change_ended(&ended.life, &ended.chain, now_ms);
                 }
@@ -272,8 +272,8 @@
                     self.plan();
                 }
             }
-            Next::Report => self.ask_report(term, engine),
-            Next::Send(order, count) => {
+            NextStep::Report => self.ask_report(term, engine),
+            NextStep::Send(order, count) => {
                 under_way.sent += 1;
                 let start = self.engines[engine].start;
                 let way_us = self.way_us();
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -11,10 +11,10 @@
     admission,
     endpoint::Endpoint,
     loadable::Loadable,
-    patience,
     request::RequestHead,
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::{SendEnd, Sends},
+    wait_limit,
 };
 
 /// Longest time without a look while a request waits.
@@ -122,7 +122,7 @@
         of.allowed_ms = route.timeout_ms.saturating_sub(past_ms);
         of.sends = Sends::default();
         of.state = State::Waiting;
-        let stays_ms = admission::caller_stays_ms(route, of.allowed_ms);
+        let stays_ms = admission::caller_timeout_ms(route, of.allowed_ms);
         let attempt = of.attempt;
         self.queue.push(now_us + stays_ms * 1_000, Event::Leave(request, attempt));
         let beliefs = &mut self.daemons[daemon].beliefs;
@@ -147,24 +147,24 @@
         let of = &mut self.requests[request];
         of.look_turn += 1;
         let elapsed_ms = (self.now_us - of.arrived_us) / 1_000;
-        let asking = Asking {
+        let asking = RequestContext {
             route: &self.routes[of.class],
             service: &self.service,
             head: &of.head,
             allowed_ms: of.allowed_ms,
             elapsed_ms,
-            wish: of.wish,
+            demand_id: of.wish,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         };
         let beliefs = &mut self.daemons[of.daemon].beliefs;
         match selection::select(beliefs, asking, &of.sends, lot, now_ms) {
             Selection::Send(endpoint) => self.send(request, endpoint),
             Selection::Wait { until_ms } => self.wait(request, until_ms, elapsed_ms),
-            Selection::Try => unreachable!("engines here do not end under requests"),
-            Selection::Pay => unreachable!("teams here have no limits"),
-            Selection::AskPlace(_) | Selection::HeldBack(_) => {
+            Selection::RequestTrial => unreachable!("engines here do not end under requests"),
+            Selection::ChargeQuota => unreachable!("teams here have no limits"),
+            Selection::RequestSendPermit(_) | Selection::Throttled(_) => {
                 unreachable!("engines here name no limits")
             }
             Selection::Refuse { retry_after_ms, .. } => self.refuse(request, retry_after_ms),
@@ -184,18 +184,18 @@
         let of = &mut self.requests[request];
         let daemon = &mut self.daemons[of.daemon];
         let due_ms = of.arrived_us / 1_000 + self.routes[of.class].objective_ms;
-        let asking = Asking {
+        let asking = RequestContext {
             route: &self.routes[of.class],
             service: &self.service,
             head: &of.head,
             allowed_ms: of.allowed_ms,
             elapsed_ms: 0,
-            wish: None,
+            demand_id: None,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         };
-        let Some(wish) = selection::wish(asking, due_ms) else { return };
+        let Some(wish) = selection::pending_demand(asking, due_ms) else { return };
         daemon.next_number += 1;
         of.wish = Some(daemon.next_number);
         daemon.beliefs.asked_of(&self.service).waiting.insert(daemon.next_number, wish);
@@ -219,15 +219,15 @@
         let of = &mut self.requests[request];
         let beliefs = &mut self.daemons[of.daemon].beliefs;
         let route = &self.routes[of.class];
-        if !of.sends.take_next(route, &self.service, beliefs, now_ms) {
+        if !of.sends.reserve_next(route, &self.service, beliefs, now_ms) {
             return self.refuse(request, LOOK_MS);
         }
-        of.sends.sent(&endpoint.name);
+        of.sends.record_send(&endpoint.name);
         beliefs.sent(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
         of.state = State::Sent;
         of.was_sent = true;
         of.send += 1;
-        let (send, patience_ms) = (of.send, patience::first_event_ms(route));
+        let (send, patience_ms) = (of.send, wait_limit::first_event_ms(route));
         let engine = self.engines.iter().position(|engine| engine.name == endpoint.name);
         of.engine = engine;
         of.endpoint = Some(endpoint);
@@ -331,7 +331,7 @@
         self.end_send(request);
         let now_ms = self.now_ms();
         let of = &mut self.requests[request];
-        of.sends.ended(end, now_ms);
+        of.sends.record_end(end, now_ms);
         of.state = State::Waiting;
         self.look(request);
     }
@@ -361,7 +361,7 @@
             self.daemons[daemon].beliefs.records.failed(&name, now_ms);
         }
         let of = &self.requests[request];
-        match of.sends.has_more(&self.routes[of.class]) {
+        match of.sends.has_attempt_left(&self.routes[of.class]) {
             true => self.send_failed(request, SendEnd::MayHaveRun),
             false => self.end(request, End::Failed),
         }
@@ -374,22 +374,22 @@
         let now_ms = self.now_ms();
         let of = &self.requests[request];
         let route = &self.routes[of.class];
-        let asking = Asking {
+        let asking = RequestContext {
             route,
             service: &self.service,
             head: &of.head,
             allowed_ms: of.allowed_ms,
             elapsed_ms: (self.now_us - of.arrived_us) / 1_000,
-            wish: None,
+            demand_id: None,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         };
         let beliefs = &mut self.daemons[of.daemon].beliefs;
-        let moves =
-            of.sends.has_more(route) && selection::has_other(beliefs, asking, &of.sends, now_ms);
+        let moves = of.sends.has_attempt_left(route)
+            && selection::has_alternative(beliefs, asking, &of.sends, now_ms);
         if !moves {
-            let again_us = self.now_us + patience::first_event_ms(route) * 1_000;
+            let again_us = self.now_us + wait_limit::first_event_ms(route) * 1_000;
             return self.queue.push(again_us, Event::Impatient { request, send });
         }
         if let Some(name) = self.last_endpoint(request) {
@@ -434,19 +434,19 @@
         self.drop_wish(request);
         let now_ms = self.now_ms();
         let of = &mut self.requests[request];
-        let asking = Asking {
+        let asking = RequestContext {
             route: &self.routes[of.class],
             service: &self.service,
             head: &of.head,
             allowed_ms: of.allowed_ms,
             elapsed_ms: (self.now_us - of.arrived_us) / 1_000,
-            wish: None,
+            demand_id: None,
             is_trial: false,
-            is_paid: true,
-            place: None,
+            has_quota: true,
+            send_permit: None,
         };
         let daemon = &mut self.daemons[of.daemon];
-        let wish = selection::wish_of_returning(self.policy, asking, retry_after_ms, now_ms);
+        let wish = selection::returning_demand(self.policy, asking, retry_after_ms, now_ms);
         if let Some(wish) = wish {
             daemon.next_number += 1;
             daemon.beliefs.asked_of(&self.service).returning.insert(daemon.next_number, wish);
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -13,7 +13,7 @@
 use trestle_core::names::{AdapterName, EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
     crashes::CrashReport,
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     departures::Departure,
     lease::{LeaseRow, Resignation},
     loadable::Loadable,
@@ -252,7 +252,7 @@
     /// The wire form of what one daemon tells of a service, with the numbers of a log.
     pub fn new(
         service: &ServiceName,
-        digest: DemandDigest,
+        digest: DemandReport,
         log: u64,
         number: impl Fn(&str) -> Option<u32>,
     ) -> Self {
@@ -288,7 +288,7 @@
     pub fn into_digest(
         self,
         name: impl Fn(u32) -> Option<Arc<str>>,
-    ) -> (ServiceName, DemandDigest) {
+    ) -> (ServiceName, DemandReport) {
         let named = |wire: WireName| match wire {
             WireName::Number(number) => name(number),
             WireName::Name(name) => Some(name.into()),
@@ -308,7 +308,7 @@
             });
             Some((EndpointName::from(named(endpoint)?), keys.collect()))
         });
-        let digest = DemandDigest {
+        let digest = DemandReport {
             number: self.number,
             arrivals: self.arrivals.into_iter().map(|(m, n)| (ModelName::from(m), n)).collect(),
             past: self.past.map(|past| past.into_iter().map(from_past).collect()),
