--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -178,7 +178,7 @@
     pub fn model_request_arrived(&mut self, service: &ServiceName, model: &ModelName, now_ms: u64) {
         let asked = self.local_demand_for(service);
         *asked.arrivals.entry(model.clone()).or_default() += 1;
-        asked.rates.arrived(model, 1, now_ms);
+        asked.rates.record_arrivals(model, 1, now_ms);
     }
 
     /// Notes that a request was sent to an endpoint.
