--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/answering.rs
@@ -23,7 +23,7 @@
         let WireAsking { vm, group, is_leader, digests, have, .. } = asking;
         let member = VmName::from(vm.as_str());
         if !is_leader {
-            self.members.told(member.clone(), now_ms);
+            self.members.report_received(member.clone(), now_ms);
         }
         let teller = if is_leader { format!("{vm} as a leader").into() } else { member };
         let mut pending = Pending::new(teller, group, is_leader, have, reply, now_ms);
@@ -39,10 +39,10 @@
             pending.told(&service, &digest);
             let known = self.services.entry(service.clone()).or_default();
             if is_leader {
-                known.demand.told_by_leader(pending.teller.clone(), digest, now_ms);
+                known.demand.leader_report_received(pending.teller.clone(), digest, now_ms);
             } else {
                 self.others.arrived(&service, &digest);
-                known.demand.told(pending.teller.clone(), digest, now_ms);
+                known.demand.report_received(pending.teller.clone(), digest, now_ms);
             }
         }
         // The answer then says what becomes of the requests that wait.
@@ -93,8 +93,8 @@
         for (service, state) in &self.services {
             let telling = self.telling.entry(service.clone()).or_default();
             let others = &self.others;
-            self.daemon.knowledge.with(|beliefs| {
-                let directory = &beliefs.directory;
+            self.daemon.knowledge.with(|local_view| {
+                let directory = &local_view.directory;
                 telling.refresh(Known { state, service, directory, others, led: &led, now_ms });
             });
         }
@@ -120,13 +120,13 @@
                 models: pending.models(service),
             };
             let (others, led) = (&self.others, &led);
-            let mut view = self.daemon.knowledge.with(|beliefs| {
-                let directory = &beliefs.directory;
+            let mut view = self.daemon.knowledge.with(|local_view| {
+                let directory = &local_view.directory;
                 telling.view(asker, Known { state, service, directory, others, led, now_ms })
             });
             view.planned = state.demand.planned(&pending.teller);
             view.daemons = daemons as u32;
-            view.askers = self.members.asking() as u32;
+            view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
         }
         WireSynced {
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -15,11 +15,11 @@
 };
 use trestle_core::names::DomainName;
 use trestle_dispatch::{
-    beliefs::Beliefs,
     candidate::Candidate,
-    deciders::Deciders,
+    decision_leaders::DecisionLeaders,
     groups::{self, Groups},
     lease::{LeaseRow, LeaseWrite, Resignation},
+    local_view::LocalView,
     store::WriteOutcome,
 };
 use trestle_wire::replicas::{WireGroupLease, WireResigned};
@@ -40,7 +40,7 @@
     /// The group whose leader this daemon asks, and since when.
     home: Option<(DomainName, u64)>,
     by_group: BTreeMap<DomainName, Leasing>,
-    deciders: Deciders,
+    decision_leaders: DecisionLeaders,
     quiet_ms: u64,
     next_read_ms: u64,
     is_reading: bool,
@@ -62,10 +62,10 @@
         Self {
             incarnation: fastrand::u64(1..),
             domain: daemon.settings.domain.as_str().into(),
-            groups: Groups::among(configured),
+            groups: Groups::with_domains(configured),
             home: None,
             by_group: BTreeMap::new(),
-            deciders: Deciders::default(),
+            decision_leaders: DecisionLeaders::default(),
             quiet_ms: daemon.settings.bounds.order_quiet_ms,
             next_read_ms: 0,
             is_reading: false,
@@ -133,7 +133,7 @@
     /// Notes that it was tried to read leases' rows.
     fn note_read(&self) {
         let is_first =
-            |beliefs: &mut Beliefs| !std::mem::replace(&mut beliefs.are_leases_read, true);
+            |local_view: &mut LocalView| !std::mem::replace(&mut local_view.are_leases_read, true);
         if self.daemon.knowledge.with(is_first) {
             self.daemon.knowledge.say_changed();
         }
@@ -144,7 +144,7 @@
         if now_ms < self.next_read_ms {
             return;
         }
-        self.to_read.insert(self.groups.home(&self.domain).clone());
+        self.to_read.insert(self.groups.home_group(&self.domain).clone());
         let others_read_ms = *self.others_read_ms.get_or_insert(now_ms + OTHERS_READ_GAP_MS);
         let reads_all = self.is_acting || now_ms >= others_read_ms;
         if reads_all {
@@ -195,7 +195,7 @@
         let led = self.led(now_ms);
         let millicores = self.daemon.settings.millicores();
         for (group, leasing) in &mut self.by_group {
-            let others_first_ms = self.groups.others_first_ms(group, &self.domain, &led, now_ms);
+            let others_first_ms = self.groups.takeover_delay_ms(group, &self.domain, &led, now_ms);
             let home_since_ms =
                 self.home.as_ref().filter(|(home, _)| home == group).map(|(_, since_ms)| *since_ms);
             let may_take = |free_from_ms: u64, last: Option<&LeaseRow>| {
@@ -209,7 +209,7 @@
                     Some(home_since_ms) => {
                         let ready_since_ms = ready_since_ms.max(home_since_ms);
                         let candidate = Candidate { millicores, age_ms: now_ms, ready_since_ms };
-                        candidate.takes_from_ms(free_from_ms, last)
+                        candidate.may_acquire_from_ms(free_from_ms, last)
                     }
                     None => free_from_ms,
                 };
@@ -218,10 +218,10 @@
             leasing.look(may_take, now_ms);
         }
         let held = self.daemon.order_permits.held(now_ms);
-        let groups = self.groups.most();
-        self.daemon.with_lender(|lender| {
-            lender.set_sharing(groups);
-            lender.set_leases(&held, now_ms);
+        let groups = self.groups.max_groups();
+        self.daemon.with_lender(|quota_allocator| {
+            quota_allocator.set_group_count(groups);
+            quota_allocator.set_leases(&held, now_ms);
         });
         self.note_acting(now_ms);
         self.note_deciders(now_ms);
@@ -232,12 +232,11 @@
     }
 
     fn follow_groups(&mut self, now_ms: u64) {
-        let (domains, engines) = self
-            .daemon
-            .knowledge
-            .with(|beliefs| (beliefs.directory.domains(), beliefs.directory.iter().count()));
+        let (domains, engines) = self.daemon.knowledge.with(|local_view| {
+            (local_view.directory.domains(), local_view.directory.iter().count())
+        });
         self.groups.update(domains, engines, now_ms);
-        let home = self.groups.home(&self.domain).clone();
+        let home = self.groups.home_group(&self.domain).clone();
         if self.home.as_ref().is_none_or(|(known, _)| *known != home) {
             self.home = Some((home.clone(), now_ms));
             self.to_read.insert(home.clone());
@@ -336,7 +335,7 @@
         if let Some(here) = leading.find(|leader| matches!(leader, Leader::Here { .. })) {
             return here;
         }
-        let home = self.groups.home(&self.domain);
+        let home = self.groups.home_group(&self.domain);
         let at_home = self.by_group.get(home).map(|leasing| leasing.leader(now_ms));
         let at_home = at_home.into_iter().filter(|leader| *leader != Leader::Nobody);
         let vm = self.daemon.settings.vm.as_str();
@@ -357,9 +356,9 @@
     /// another one may have before. Leaders know of the same groups, so they agree on it.
     pub(crate) fn decider(&mut self, name: &str, now_ms: u64) -> (Leader, Option<u64>) {
         self.note_deciders(now_ms);
-        let group = self.deciders.group_for(name);
+        let group = self.decision_leaders.group_for(name);
         let leader = group.map_or(Leader::Nobody, |group| self.leader_of(group, now_ms));
-        (leader, self.deciders.decides_since_ms(name))
+        (leader, self.decision_leaders.decides_since_ms(name))
     }
 
     fn note_deciders(&mut self, now_ms: u64) {
@@ -370,7 +369,7 @@
                 Leader::At { address, token, .. } => Some((address, token)),
                 Leader::Nobody => None,
             };
-            self.deciders.note(group, leader, now_ms);
+            self.decision_leaders.record_leader(group, leader, now_ms);
         }
     }
 
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/telling.rs
@@ -7,7 +7,7 @@
     directory::Directory,
     loadable::{self, Loadable},
     placement_log::{PlacementLog, PlacementPosition},
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
     service_state::ServiceState,
 };
 use trestle_wire::replicas::{WireView, to_ready};
@@ -77,7 +77,7 @@
 impl Telling {
     /// Takes what is known now, unless what was told last is fresh enough.
     pub(crate) fn refresh(&mut self, known: Known<'_>) {
-        let news = known.state.news() + known.others.news();
+        let news = known.state.revision() + known.others.news();
         let told_ms = if self.news == news { TOLD_MS } else { NEWS_MS };
         if self.at_ms > 0 && known.now_ms < self.at_ms + told_ms {
             return;
@@ -95,7 +95,7 @@
     pub(crate) fn arrived(&mut self) -> [(bool, BTreeSet<Loadable>); 2] {
         let [all, own] = self.noted;
         self.noted = [self.all.sequence(), self.own.sequence()];
-        [(false, self.all.arrived_since(all)), (true, self.own.arrived_since(own))]
+        [(false, self.all.loaded_since(all)), (true, self.own.loaded_since(own))]
     }
 
     /// What an asker is told. What is about other leaders' engines, these tell each other
@@ -170,7 +170,7 @@
             Some(note) => note.clone(),
             None => {
                 let usage = usage.get_or_insert_with(|| known.state.demand.usage(known.now_ms));
-                EngineNote { holds: endpoint.held.clone(), running: usage.at(name) }
+                EngineSummary { holds: endpoint.held.clone(), running: usage.at(name) }
             }
         };
         (name.clone(), note)
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -24,8 +24,8 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 use trestle_dispatch::{
-    patience,
     sends::{SendEnd, Sends},
+    wait_limit,
 };
 
 /// Sees a stream through to its first event; the rest goes on in the body.
@@ -137,7 +137,7 @@
                 continue;
             }
             let parts = self.begin(attempt);
-            match self.step(patience::first_event_ms(&self.task.route)).await {
+            match self.step(wait_limit::first_event_ms(&self.task.route)).await {
                 Step::Events(first) => return Ok(Opened::Events(Box::new(parts), first)),
                 Step::End => return Ok(Opened::Events(Box::new(parts), Bytes::new())),
                 Step::Broken(breach) => {
@@ -175,13 +175,13 @@
             return Err(Some(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why }));
         }
         self.task.daemon.metrics.send(self.sends.count == 0);
-        self.sends.sent(&taken.endpoint.name);
+        self.sends.record_send(&taken.endpoint.name);
         let last_event_id = self.buffer.last_id();
-        let patience = self.patience(patience::first_event_ms(&self.task.route));
+        let patience = self.patience(wait_limit::first_event_ms(&self.task.route));
         match attempt::send(&self.task, taken, last_event_id, patience).await {
             Ok(attempt) => Ok(attempt),
             Err(unanswered) => {
-                self.sends.ended(unanswered.end(), self.task.daemon.knowledge.now_ms());
+                self.sends.record_end(unanswered.end(), self.task.daemon.knowledge.now_ms());
                 let is_final = unanswered.end().may_have_run() && !self.is_resumable();
                 Err(is_final.then_some(Failure::MayHaveRun))
             }
@@ -238,7 +238,7 @@
             let daemon = &self.task.daemon;
             let name = &source.taken.endpoint.name;
             let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|beliefs| beliefs.records.succeeded(name, now_ms));
+            daemon.knowledge.with(|local_view| local_view.records.succeeded(name, now_ms));
             if source.shows_its_end {
                 self.task.trial.settled();
                 source.taken.settle();
@@ -250,7 +250,7 @@
     }
 
     fn note_failed(&mut self) {
-        self.sends.ended(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
+        self.sends.record_end(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
     }
 
     fn note_broken(&mut self, breach: &Breach) {
@@ -261,7 +261,7 @@
         let name = &source.taken.endpoint.name;
         let daemon = &self.task.daemon;
         let now_ms = daemon.knowledge.now_ms();
-        daemon.knowledge.with(|beliefs| beliefs.records.failed(name, now_ms));
+        daemon.knowledge.with(|local_view| local_view.records.failed(name, now_ms));
         tracing::info!(
             id = self.task.head.id, request = self.task.fingerprint(), endpoint = %name,
             reason = breach.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream broke."
@@ -314,7 +314,7 @@
             return Some((Ok(Frame::data(first)), self));
         }
         loop {
-            match self.flow.step(patience::next_event_ms(&self.flow.task.route)).await {
+            match self.flow.step(wait_limit::next_event_ms(&self.flow.task.route)).await {
                 Step::Events(events) => {
                     self.note_events();
                     return Some((Ok(Frame::data(events)), self));
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -13,13 +13,13 @@
 use trestle_core::names::{AdapterName, EndpointName, ModelName, ServiceName};
 use trestle_dispatch::{
     crashes::CrashReport,
-    demand::{DemandDigest, Waiting},
+    demand::{DemandReport, Waiting},
     departures::Departure,
     lease::{LeaseRow, Resignation},
     loadable::Loadable,
     placement_log::PlacementMirror,
     rates::PastArrivals,
-    replicas::{EngineNote, ReplicaView},
+    replicas::{EngineSummary, ReplicaView},
 };
 
 /// The service between daemons and the leader.
@@ -252,7 +252,7 @@
     /// The wire form of what one daemon tells of a service, with the numbers of a log.
     pub fn new(
         service: &ServiceName,
-        digest: DemandDigest,
+        digest: DemandReport,
         log: u64,
         number: impl Fn(&str) -> Option<u32>,
     ) -> Self {
@@ -288,7 +288,7 @@
     pub fn into_digest(
         self,
         name: impl Fn(u32) -> Option<Arc<str>>,
-    ) -> (ServiceName, DemandDigest) {
+    ) -> (ServiceName, DemandReport) {
         let named = |wire: WireName| match wire {
             WireName::Number(number) => name(number),
             WireName::Name(name) => Some(name.into()),
@@ -308,7 +308,7 @@
             });
             Some((EndpointName::from(named(endpoint)?), keys.collect()))
         });
-        let digest = DemandDigest {
+        let digest = DemandReport {
             number: self.number,
             arrivals: self.arrivals.into_iter().map(|(m, n)| (ModelName::from(m), n)).collect(),
             past: self.past.map(|past| past.into_iter().map(from_past).collect()),
@@ -350,13 +350,13 @@
     pub fn into_view(self, placements: &PlacementMirror) -> ReplicaView {
         let engines = placements.engines().zip(self.running.iter().chain(iter::repeat(&0)));
         let engines = engines.map(|((name, holds), running)| {
-            (name.clone(), EngineNote { holds: holds.clone(), running: *running })
+            (name.clone(), EngineSummary { holds: holds.clone(), running: *running })
         });
         ReplicaView {
             engines: engines.collect(),
             ready_in_ms: self.ready_in_ms.into_iter().map(from_ready).collect(),
             daemons: self.daemons as usize,
-            askers: self.askers as usize,
+            leader_clients: self.askers as usize,
         }
     }
 }
