--- a/crates/trestle-core/src/catalog.rs
+++ b/crates/trestle-core/src/catalog.rs
@@ -53,7 +53,7 @@
     pub memory_bytes: u64,
     /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Whether the engine refuses orders with an old fencing number.
+    /// How the engine treats fencing numbers.
     pub fencing: Fencing,
 }
 
--- a/crates/trestle-core/src/claim.rs
+++ b/crates/trestle-core/src/claim.rs
@@ -8,7 +8,6 @@
 //!   row cannot be read at all, only if the caller has not sent the key before;
 //! - *answered*: the recorded answer, or the one that the attempt has just received;
 //! - *unknown*: in every other case.
-//! - *unknown*: in every other case.
 
 /// Next step of an attempt.
 #[trestle_macros::plain]
--- a/crates/trestle-core/src/control_state.rs
+++ b/crates/trestle-core/src/control_state.rs
@@ -41,7 +41,7 @@
     pub(crate) chain_positions: BTreeMap<EndpointName, ChainPosition>,
     pub(crate) vms: VmList,
     pub(crate) review: Review,
-    loads: LoadLimiter,
+    load_limiter: LoadLimiter,
     acted_epoch: u64,
     next_lease_ms: u64,
     next_refresh_ms: u64,
@@ -60,7 +60,7 @@
             chain_positions: BTreeMap::new(),
             vms: VmList::default(),
             review: Review::default(),
-            loads: LoadLimiter::default(),
+            load_limiter: LoadLimiter::default(),
             acted_epoch: 0,
             next_lease_ms: 0,
             next_refresh_ms: 0,
@@ -156,9 +156,9 @@
     fn on_vms(&mut self, vms: BTreeMap<String, VmState>, now_ms: u64) {
         self.vms.update(vms, now_ms);
         for (endpoint, position) in &mut self.chain_positions {
-            let leaving = self.vms.is_draining(endpoint.as_str());
+            let is_draining = self.vms.is_draining(endpoint.as_str());
             if let Some(owned) = position.owned_endpoint_mut() {
-                owned.set_draining(leaving);
+                owned.set_draining(is_draining);
             }
         }
     }
--- a/crates/trestle-core/src/control_state/owning.rs
+++ b/crates/trestle-core/src/control_state/owning.rs
@@ -80,7 +80,7 @@
         actions.extend(order.map(|order| Action::Order(endpoint.clone(), order)));
         for (model, took_ms) in owned.take_completed_loads() {
             let declared_ms = self.catalog.models.get(&model).map_or(took_ms, |spec| spec.load_ms);
-            self.loads.record(declared_ms, took_ms);
+            self.load_limiter.record(declared_ms, took_ms);
         }
     }
 
@@ -104,7 +104,7 @@
             };
         let most_urgent = owned.filter_map(first_load_of).min();
         let is_first = most_urgent.is_none_or(|(_, name)| name == *endpoint);
-        loads_in_progress < self.loads.limit() && is_first
+        loads_in_progress < self.load_limiter.limit() && is_first
     }
 
     /// Returns when a load for the request could begin and how long loads take, should the request
@@ -117,7 +117,7 @@
         });
         let load_ms = |model: &ModelName| self.catalog.models.get(model).map_or(0, |s| s.load_ms);
         let ahead_ms = ahead.filter(|model| **model != request.model).map(load_ms).sum();
-        self.loads.forecast(ahead_ms)
+        self.load_limiter.forecast(ahead_ms)
     }
 
     /// Divides the capacity of the weight store by the estimated number of all daemons.
@@ -125,7 +125,7 @@
         let domains: BTreeSet<&DomainName> =
             self.catalog.engines.values().map(|engine| &engine.domain).collect();
         let daemons = self.membership.row().members.len() * domains.len().max(1);
-        self.loads.set_capacity(self.catalog.full_speed_loads, daemons);
+        self.load_limiter.set_capacity(self.catalog.full_speed_loads, daemons);
     }
 
     pub(super) fn owned_endpoints(&self) -> impl Iterator<Item = EndpointName> {
--- a/crates/trestle-core/src/keep.rs
+++ b/crates/trestle-core/src/keep.rs
@@ -6,7 +6,6 @@
 //! shorter than the keep time costs its own length of idle time, and a longer one costs the
 //! keep time and a cold start. The cheapest keep time is chosen. One number in the configuration
 //! states how much idle time one second of waiting is worth.
-//! idle time one second of waiting is worth.
 
 /// Number of classes of gaps: 1 s, 2 s, 4 s, and so on to about 12 days.
 const CLASSES: usize = 21;
--- a/crates/trestle-core/src/owned_endpoint.rs
+++ b/crates/trestle-core/src/owned_endpoint.rs
@@ -43,12 +43,16 @@
     spec: EngineSpec,
     timing: Timing,
     fence: Fence,
+    /// Time at which the endpoint first accepted an order of this owner in this epoch.
     confirmed_ms: Option<u64>,
-    probed_ms: Option<u64>,
+    /// Time at which the latest accepted order was sent.
+    accepted_sent_ms: Option<u64>,
     in_flight: Option<InFlight>,
+    /// Change of an order whose answer was lost, to be ordered again.
     to_resend: Option<OrderKind>,
     resident: BTreeMap<ModelName, ResidentModel>,
     permits: BTreeMap<Ticket, Permit>,
+    /// Number of running requests that may use permits of earlier owners.
     inherited_running: usize,
     queue: Queue,
     last_used_ms: BTreeMap<ModelName, u64>,
@@ -56,14 +60,18 @@
     expected: BTreeSet<ModelName>,
     usage_profiles: BTreeMap<ModelName, UsageProfile>,
     bin: Option<Bin>,
+    /// Models that were requested in the current time bin.
     requested_in_bin: BTreeSet<ModelName>,
     average_service_ms: BTreeMap<ModelName, u64>,
     failed_ms: BTreeMap<ModelName, u64>,
     completed_loads: Vec<(ModelName, u64)>,
     draining: bool,
+    /// Models for which no other owner can still grant permits.
     exclusive: BTreeSet<ModelName>,
+    /// Models that were already retiring when this daemon became the owner.
     inherited_retiring: BTreeSet<ModelName>,
     unload_sent_ms: Option<u64>,
+    /// Number of consecutive orders without an answer.
     unanswered: u32,
     resend_at_ms: u64,
 }
@@ -107,7 +115,7 @@
             timing,
             fence,
             confirmed_ms: None,
-            probed_ms: None,
+            accepted_sent_ms: None,
             in_flight: None,
             to_resend: None,
             resident: BTreeMap::new(),
@@ -136,7 +144,7 @@
     pub fn reclaim(&mut self, fence: Fence) {
         self.fence = fence;
         self.confirmed_ms = None;
-        self.probed_ms = None;
+        self.accepted_sent_ms = None;
         self.exclusive.clear();
         self.in_flight = None;
         self.to_resend = None;
--- a/crates/trestle-core/src/owned_endpoint/admission.rs
+++ b/crates/trestle-core/src/owned_endpoint/admission.rs
@@ -22,10 +22,10 @@
 /// Without a bound, a few long requests could cause all others to be refused, and no shorter
 /// request would be measured any more.
 const MAX_SERVICE_FACTOR: u64 = 2;
-/// Time after its deadline at which a permit expires.
+/// Time between the deadline of a request and the expiry of its permit.
 const PERMIT_GRACE_MS: u64 = 1_000;
-/// Divisor that yields the safety margin: this part of the expected wait for other requests is
-/// added to it, so that admitted requests end in time.
+/// Divisor for the safety margin: the expected wait for other requests, divided by this, is added
+/// to the expected time, so that admitted requests end in time.
 const QUEUE_MARGIN_DIVISOR: u64 = 4;
 /// Upper bound of how many times faster than declared a load may be.
 const MAX_LOAD_SPEEDUP: u64 = 4;
@@ -157,7 +157,8 @@
     }
 
     fn may_grant(&self, now_ms: u64) -> bool {
-        let is_recent = self.probed_ms.is_some_and(|at_ms| now_ms < at_ms + self.timing.grant_ms);
+        let is_recent =
+            self.accepted_sent_ms.is_some_and(|at_ms| now_ms < at_ms + self.timing.grant_ms);
         self.is_confirmed() && is_recent && !self.draining
     }
 
--- a/crates/trestle-core/src/owned_endpoint/keeping.rs
+++ b/crates/trestle-core/src/owned_endpoint/keeping.rs
@@ -49,27 +49,22 @@
             .chain(catalog.expected_at(time))
             .cloned()
             .collect();
-        ended
-            .map(|_| self.usage_profiles.clone())
-            .filter(|usage_profiles| !usage_profiles.is_empty())
+        ended.map(|_| self.usage_profiles.clone()).filter(|profiles| !profiles.is_empty())
     }
 
     /// Adds usage profiles that earlier owners stored; a profile that this owner has already
     /// recorded takes precedence.
-    pub fn merge_usage_profiles(&mut self, kept: BTreeMap<ModelName, UsageProfile>) {
-        for (model, usage_profiles) in kept {
-            self.usage_profiles.entry(model).or_insert(usage_profiles);
+    pub fn merge_usage_profiles(&mut self, stored: BTreeMap<ModelName, UsageProfile>) {
+        for (model, profile) in stored {
+            self.usage_profiles.entry(model).or_insert(profile);
         }
     }
 
     fn update_usage_profiles(&mut self, ended: Bin, placed: &EndpointRow) {
         for model in placed.placed.keys() {
-            let requested_in_bin = self.requested_in_bin.contains(model);
-            if requested_in_bin || self.usage_profiles.contains_key(model) {
-                self.usage_profiles
-                    .entry(model.clone())
-                    .or_default()
-                    .record(ended, requested_in_bin);
+            let was_requested = self.requested_in_bin.contains(model);
+            if was_requested || self.usage_profiles.contains_key(model) {
+                self.usage_profiles.entry(model.clone()).or_default().record(ended, was_requested);
             }
         }
         self.usage_profiles.retain(|model, _| placed.placed.contains_key(model));
@@ -77,9 +72,9 @@
     }
 
     fn is_usually_requested(&self, model: &ModelName, bin: Bin, catalog: &Catalog) -> bool {
-        let usage_profiles = self.usage_profiles.get(model);
-        usage_profiles.zip(catalog.models.get(model)).is_some_and(|(usage_profiles, spec)| {
-            usage_profiles.is_expected(bin, &catalog.keep_price(spec, &self.spec))
+        let profile = self.usage_profiles.get(model);
+        profile.zip(catalog.models.get(model)).is_some_and(|(profile, spec)| {
+            profile.is_expected(bin, &catalog.keep_price(spec, &self.spec))
         })
     }
 
--- a/crates/trestle-core/src/owned_endpoint/orders.rs
+++ b/crates/trestle-core/src/owned_endpoint/orders.rs
@@ -82,7 +82,7 @@
 
     /// Returns whether a status probe is due.
     fn is_status_probe_due(&self, now_ms: u64) -> bool {
-        let Some(probed_ms) = self.probed_ms else { return true };
+        let Some(accepted_sent_ms) = self.accepted_sent_ms else { return true };
         let is_changing = self.resident.values().any(|resident| resident.phase != Phase::Ready);
         let is_used = !self.queue.is_empty() || !self.permits.is_empty();
         let interval_ms = match (is_changing, is_used) {
@@ -90,7 +90,7 @@
             (false, true) => self.timing.grant_ms / 2,
             (false, false) => self.timing.status_probe_ms,
         };
-        now_ms >= probed_ms + interval_ms
+        now_ms >= accepted_sent_ms + interval_ms
     }
 
     fn record_answer(&mut self, answered: bool) {
@@ -137,7 +137,6 @@
     /// not at all, so some time after this owner was confirmed, the state of the endpoint shows
     /// every request that used one. Only the answer to an order shows the state after that order,
     /// so a status probe is sent first.
-    /// does nothing is sent first.
     fn unload_or_probe(&self, model: ModelName, now_ms: u64) -> Option<OrderKind> {
         let earlier_permits_ms = self.timing.grant_ms + PERMIT_USE_MS + PERMIT_DELIVERY_MS;
         let settled_ms = self.confirmed_ms? + earlier_permits_ms;
@@ -145,10 +144,11 @@
             return None;
         }
         let is_idle = self.resident.get(&model).is_some_and(|resident| resident.running == 0);
-        let probed_ms = self.probed_ms.filter(|probed_ms| *probed_ms >= settled_ms);
-        match probed_ms {
+        let accepted_sent_ms =
+            self.accepted_sent_ms.filter(|accepted_sent_ms| *accepted_sent_ms >= settled_ms);
+        match accepted_sent_ms {
             Some(_) if is_idle => Some(OrderKind::Unload { model }),
-            Some(probed_ms) if now_ms < probed_ms + BUSY_STATUS_PROBE_MS => None,
+            Some(accepted_sent_ms) if now_ms < accepted_sent_ms + BUSY_STATUS_PROBE_MS => None,
             _ => Some(OrderKind::Claim),
         }
     }
@@ -224,7 +224,7 @@
             self.confirmed_ms = Some(now_ms);
             self.inherited_running = report.running().saturating_sub(self.permits.len());
         }
-        self.probed_ms = Some(answered.sent_ms);
+        self.accepted_sent_ms = Some(answered.sent_ms);
     }
 
     fn apply_report(&mut self, report: &Report, now_ms: u64) {
--- a/crates/trestle-core/src/placing.rs
+++ b/crates/trestle-core/src/placing.rs
@@ -49,13 +49,13 @@
     catalog: &'a Catalog,
     extra_candidates: usize,
 ) -> Vec<&'a ModelName> {
-    let is_wanted = |name: &ModelName| {
+    let should_place = |name: &ModelName| {
         let ranked = catalog.candidates(name);
         let rank = ranked.iter().position(|candidate| candidate == snapshot.name);
         let within = catalog.models[name].max_replicas.saturating_add(extra_candidates);
         rank.is_some_and(|rank| rank < within) && !snapshot.row.placed.contains_key(name)
     };
-    catalog.models.keys().filter(|name| is_wanted(name)).collect()
+    catalog.models.keys().filter(|name| should_place(name)).collect()
 }
 
 /// Returns a transaction that places models at the endpoint; `None` if none may be placed.
@@ -98,7 +98,7 @@
     rows: &Rows,
 ) -> Vec<&'a ModelName> {
     let active = snapshot.row.placed.iter().filter(|(_, placement)| placement.retiring.is_none());
-    let is_unwanted = |name: &ModelName, placement: &Placement| {
+    let is_disallowed = |name: &ModelName, placement: &Placement| {
         let Some(spec) = catalog.models.get(name) else { return true };
         if spec.memory_bytes != placement.memory_bytes {
             return true;
@@ -106,10 +106,10 @@
         let (_, replicas) = model_row(rows, name);
         let excess = replicas.replicas.len().saturating_sub(spec.max_replicas);
         let ranked = catalog.candidates(name).iter().rev();
-        let held = ranked.filter(|candidate| replicas.replicas.contains(*candidate));
-        held.take(excess).any(|candidate| candidate == snapshot.name)
+        let occupied = ranked.filter(|candidate| replicas.replicas.contains(*candidate));
+        occupied.take(excess).any(|candidate| candidate == snapshot.name)
     };
-    active.filter(|(name, p)| is_unwanted(name, p)).map(|(name, _)| name).collect()
+    active.filter(|(name, p)| is_disallowed(name, p)).map(|(name, _)| name).collect()
 }
 
 /// Returns a transaction that marks placements as retiring and advances the epoch; `None` if a
--- a/crates/trestle-core/src/usage_profile.rs
+++ b/crates/trestle-core/src/usage_profile.rs
@@ -15,9 +15,9 @@
 pub const BIN_MS: u64 = BIN_MINUTES as u64 * 60_000;
 /// First day of the weekend, as in [`CivilTime::weekday`].
 const SATURDAY: u8 = 5;
-/// Share that stands for every day, in units of a thousandth.
+/// Share of a bin with requests on every day; shares are in thousandths.
 const FULL_SHARE: u16 = 1_000;
-/// Divisor of the weight of a new day in the average.
+/// Number of equal parts of the average of which a new day makes up one.
 const AVERAGING_DAYS: u16 = 4;
 
 /// Shares of days with requests to one model, by time of day.
@@ -33,7 +33,7 @@
     }
 }
 
-/// One bin of a working day or of a day of a weekend.
+/// One bin of a day, either of a working day or of the weekend.
 #[trestle_macros::key]
 #[derive(Copy)]
 pub struct Bin {
--- a/crates/trestle-core/tests/interleavings.rs
+++ b/crates/trestle-core/tests/interleavings.rs
@@ -70,7 +70,7 @@
     cut_from_platform: [Fault::CutFromPlatform], 30;
     cut_from_engine: [Fault::CutFromEngine], 30;
     cut_peers: [Fault::CutPeers], 30;
-    leaving: [Fault::Draining], 30;
+    draining: [Fault::Draining], 30;
     reconfigure: [Fault::Reconfigure], 30;
     stop: [Fault::Stop], 30;
     all_together: ALL, 60;
--- a/crates/trestle-core/tests/membership.rs
+++ b/crates/trestle-core/tests/membership.rs
@@ -42,8 +42,9 @@
     renewals_keep_a_lease: [Round::Renewed; 40] => false;
     failed_reads_do_not_count: [Round::ReadFails; 40] => false;
     an_outage_between_reads_does_not_count:
-        [Round::Unchanged, Round::ReadFails, Round::ReadFails, Round::Unchanged, Round::ReadFails,
-         Round::Unchanged, Round::ReadFails, Round::Unchanged, Round::ReadFails, Round::Unchanged] => false;
+        [Round::Unchanged, Round::ReadFails, Round::ReadFails, Round::Unchanged,
+         Round::ReadFails, Round::Unchanged, Round::ReadFails, Round::Unchanged,
+         Round::ReadFails, Round::Unchanged] => false;
     time_without_own_renewals_does_not_count: [Round::WriteFails; 40] => false;
     a_pause_of_the_observer_counts_only_partly: [Round::Unchanged, Round::Paused] => false;
 }
--- a/crates/trestle-core/tests/scenarios.rs
+++ b/crates/trestle-core/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! Interleavings that are too rare for a random search to find. Each is the shortest sequence of
-//! events that would violate an invariant if one particular check was missing.
+//! events that would violate an invariant if one particular check were missing.
 
 mod simulation;
 
--- a/crates/trestle-policy/src/main.rs
+++ b/crates/trestle-policy/src/main.rs
@@ -4,7 +4,7 @@
 use trestle_policy::{report, workload};
 
 const HELP: &str = "\
-trestle-policy: weighs tail cold-start time against idle accelerator hours
+trestle-policy: compares keep-time policies by tail cold-start time and idle accelerator hours
 
 USAGE:
     trestle-policy [--seed N] [--plots FOLDER]
--- a/crates/trestle-policy/src/policy.rs
+++ b/crates/trestle-policy/src/policy.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether models are kept loaded in their declared windows.
-    pub fn honours_windows(&self) -> bool {
+    pub fn uses_windows(&self) -> bool {
         matches!(self, Self::Price { windows: true, .. })
     }
 
--- a/crates/trestle-policy/src/simulate.rs
+++ b/crates/trestle-policy/src/simulate.rs
@@ -127,11 +127,11 @@
     for bin_ms in (0..deployment.end_ms).step_by(BIN_MS as usize) {
         let end_ms = bin_ms + BIN_MS;
         let bin = Bin::of(civil(bin_ms));
-        let by_habit =
+        let by_profile =
             policy.usage_profile_costs(model).is_some_and(|price| profile.is_expected(bin, &price));
         let is_open = |at_ms| model.windows.iter().any(|window| window.is_open(civil(at_ms)));
-        let by_window = policy.honours_windows() && (is_open(bin_ms) || is_open(end_ms - 1));
-        if by_habit || by_window {
+        let by_window = policy.uses_windows() && (is_open(bin_ms) || is_open(end_ms - 1));
+        if by_profile || by_window {
             match spans.last_mut().filter(|span| span.1 == bin_ms) {
                 Some(span) => span.1 = end_ms,
                 None => spans.push((bin_ms.saturating_sub(model.load_ms), end_ms)),
--- a/crates/trestle-policy/src/workload.rs
+++ b/crates/trestle-policy/src/workload.rs
@@ -136,7 +136,7 @@
     Deployment { models, measured_from_ms: DAYS_A_MONTH * DAY_MS, end_ms }
 }
 
-/// Returns the pattern of a burst in the month that contains the day.
+/// Returns the pattern of a burst: three days of work in the month that contains the day.
 fn burst_of(day: u64, index: u64) -> Vec<Pattern> {
     let months = 1 << ((day / DAYS_A_MONTH) % 12);
     let weekday = 1 << (index % 5);
