--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -19,7 +19,7 @@
     net::SocketAddr,
     sync::{Mutex, PoisonError},
 };
-use trestle_dispatch::endpoint::{Endpoint, Life};
+use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
 /// Longest time for opening a connection. A round trip within a region takes a few milliseconds.
 pub(crate) const CONNECT_MS: u64 = 300;
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
-    kept: Mutex<BTreeMap<Life, Vec<Kept>>>,
+    kept: Mutex<BTreeMap<Incarnation, Vec<Kept>>>,
 }
 
 /// An idle connection.
@@ -76,7 +76,7 @@
     ///
     /// Fails if no connection can be opened.
     pub(crate) async fn connection(&self, endpoint: &Endpoint) -> io::Result<Connection> {
-        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.life()) {
+        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
             return Ok(Connection { sender, is_fresh: false, opened_ms });
         }
         let sender = open(endpoint.address).await?;
@@ -92,7 +92,7 @@
         let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_PART) as u64);
         let until_ms = self.clock.now_ms() + idle_ms;
         let mut kept = self.lock();
-        let of_endpoint = kept.entry(endpoint.life()).or_default();
+        let of_endpoint = kept.entry(endpoint.incarnation()).or_default();
         if of_endpoint.len() < MOST_KEPT {
             let Connection { sender, opened_ms, .. } = connection;
             of_endpoint.push(Kept { sender, until_ms, opened_ms });
@@ -100,7 +100,7 @@
     }
 
     /// Closes connections that were idle for too long, and those to endpoints that are not live.
-    pub(crate) fn tidy(&self, is_live: impl Fn(&Life) -> bool) {
+    pub(crate) fn tidy(&self, is_live: impl Fn(&Incarnation) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut kept = self.lock();
         kept.retain(|endpoint, connections| {
@@ -110,7 +110,7 @@
     }
 
     /// Removes and returns an idle connection that can still be used.
-    fn take(&self, endpoint: &Life) -> Option<Kept> {
+    fn take(&self, endpoint: &Incarnation) -> Option<Kept> {
         let now_ms = self.clock.now_ms();
         let mut kept = self.lock();
         let of_endpoint = kept.get_mut(endpoint)?;
@@ -122,7 +122,7 @@
         None
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Life, Vec<Kept>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<Kept>>> {
         self.kept.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/trestle-entry/src/traffic/place.rs
+++ b/crates/trestle-entry/src/traffic/place.rs
@@ -1,7 +1,7 @@
 //! The permit to send one request to an endpoint that limits its requests.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use trestle_dispatch::endpoint::Life;
+use trestle_dispatch::endpoint::Incarnation;
 
 /// Time after a permit's end within which the request may still be sent: opening a connection takes
 /// time.
@@ -15,26 +15,28 @@
 
 #[derive(Debug)]
 struct Held {
-    life: Life,
+    incarnation: Incarnation,
     until_ms: u64,
 }
 
 impl Place {
     /// Sets the permit to send to this start of an endpoint until `until_ms`.
-    pub(crate) fn take(&self, life: Life, until_ms: u64) {
-        *self.held() = Some(Held { life, until_ms });
+    pub(crate) fn take(&self, incarnation: Incarnation, until_ms: u64) {
+        *self.held() = Some(Held { incarnation, until_ms });
     }
 
     /// Returns the start of an endpoint that the request may be sent to now.
-    pub(crate) fn life(&self, now_ms: u64) -> Option<Life> {
+    pub(crate) fn incarnation(&self, now_ms: u64) -> Option<Incarnation> {
         let held = self.held();
-        held.as_ref().filter(|held| now_ms < held.until_ms).map(|held| held.life.clone())
+        held.as_ref().filter(|held| now_ms < held.until_ms).map(|held| held.incarnation.clone())
     }
 
     /// Returns whether the permit still allows sending to this start of an endpoint.
-    pub(crate) fn may_leave(&self, life: &Life, now_ms: u64) -> bool {
+    pub(crate) fn may_leave(&self, incarnation: &Incarnation, now_ms: u64) -> bool {
         let held = self.held();
-        held.as_ref().is_some_and(|held| held.life == *life && now_ms < held.until_ms + SEND_MS)
+        held.as_ref().is_some_and(|held| {
+            held.incarnation == *incarnation && now_ms < held.until_ms + SEND_MS
+        })
     }
 
     /// Records that the request was sent: another send needs another permit.
