--- a/crates/trestle-entry/src/broken.rs
+++ b/crates/trestle-entry/src/broken.rs
@@ -10,7 +10,7 @@
     net::{
         connect,
         exchange::{Answer, CallClient, Error},
-        pool::CONNECT_MS,
+        pool::CONNECT_TIMEOUT_MS,
     },
 };
 use http::StatusCode;
@@ -124,7 +124,7 @@
 
 /// Whether anything listens at an endpoint's address.
 async fn listens(endpoint: &Endpoint) -> Seen {
-    match connect::open(endpoint.address, CONNECT_MS).await {
+    match connect::open(endpoint.address, CONNECT_TIMEOUT_MS).await {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
             Seen::Ended(Evidence::Refused)
         }
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -89,7 +89,7 @@
         let permits = &self.daemon.order_permits;
         let opens_in_ms = led.iter().map(|group| permits.opens_in_ms(group, now_ms)).min();
         let opens_in_ms = opens_in_ms.unwrap_or_default();
-        match self.daemon.freshness.is_informed() {
+        match self.daemon.freshness.has_read_list() {
             true => opens_in_ms,
             false => opens_in_ms.max(UNINFORMED_MS),
         }
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -93,8 +93,8 @@
     /// Puts changed bounds in force.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
         self.knowledge.take_bounds(bounds);
-        self.freshness.take_bounds(bounds);
-        self.store.take_bounds(bounds);
+        self.freshness.apply_bounds(bounds);
+        self.store.apply_bounds(bounds);
         self.stopping.take_bounds(bounds);
         self.tell(Message::QuietTime(bounds.order_quiet_ms));
     }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -45,7 +45,7 @@
     settings_watch::SettingsWatch,
     traffic::{
         answer::{self, Body},
-        serve::{self, Closing, Limits},
+        serve::{self, ConnectionLimits, ListenerShutdown},
     },
 };
 use bytes::Bytes;
@@ -59,7 +59,7 @@
 
 /// Limits towards the balancer, readers of metrics, and callers before there is a
 /// configuration.
-const OWN_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
+const OWN_LIMITS: ConnectionLimits = ConnectionLimits { header_bytes: 16 << 10, idle_ms: 30_000 };
 
 /// The daemon cannot start or go on.
 #[derive(Debug, Snafu)]
@@ -158,12 +158,12 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<Closing> {
-    let closing = Arc::new(Closing::default());
+fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<ListenerShutdown> {
+    let closing = Arc::new(ListenerShutdown::default());
     let limits = {
         let daemon = Arc::clone(daemon);
         move || match daemon.knowledge.catalog() {
-            Some(catalog) => Limits {
+            Some(catalog) => ConnectionLimits {
                 header_bytes: catalog.limits.header_bytes,
                 idle_ms: catalog.limits.idle_ms + catalog.limits.header_ms,
             },
@@ -203,7 +203,7 @@
 fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
     let now_ms = daemon.knowledge.now_ms();
     daemon.knowledge.with(|local_view| Counted {
-        store_calls: daemon.store.calls(),
+        store_calls: daemon.store.call_count(),
         log_drops: logs.dropped(),
         limited: local_view.backpressure.limited(),
         resting: local_view.backpressure.backing_off(now_ms),
@@ -212,7 +212,7 @@
 }
 
 fn own_answer(status: StatusCode, content: Bytes) -> Response<Body> {
-    let mut response = Response::new(answer::whole(content));
+    let mut response = Response::new(answer::full_body(content));
     *response.status_mut() = status;
     response
 }
--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -22,7 +22,7 @@
 use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
 /// Longest time for opening a connection. A round trip within a region takes a few milliseconds.
-pub(crate) const CONNECT_MS: u64 = 300;
+pub(crate) const CONNECT_TIMEOUT_MS: u64 = 300;
 /// Idle time after which a connection is closed if the endpoint does not report its own idle
 /// timeout. It is below the shortest timeout that endpoints report.
 const DEFAULT_IDLE_MS: u64 = 900;
@@ -100,7 +100,7 @@
     }
 
     /// Closes connections that were idle for too long, and those to endpoints that are not live.
-    pub(crate) fn tidy(&self, is_live: impl Fn(&Incarnation) -> bool) {
+    pub(crate) fn cleanup(&self, is_live: impl Fn(&Incarnation) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut kept = self.lock();
         kept.retain(|endpoint, connections| {
@@ -160,7 +160,7 @@
 
 /// Opens a connection, and drives it in a task of its own.
 async fn open(address: SocketAddr) -> io::Result<SendRequest<Full<Bytes>>> {
-    let stream = connect::open(address, CONNECT_MS).await?;
+    let stream = connect::open(address, CONNECT_TIMEOUT_MS).await?;
     let (sender, connection) =
         http1::handshake(FuturesIo::new(stream)).await.map_err(io::Error::other)?;
     smol::spawn(async move {
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -249,16 +249,16 @@
 /// made, which was after it was asked for.
 fn take_relay(daemon: &Daemon, relay: WireRelay, asked_ms: u64) {
     departures::heard_wire(daemon, relay.departures);
-    let taken = relay.config.is_none_or(|news| config::take_passed_on(daemon, &news.into()));
+    let taken = relay.config.is_none_or(|news| config::apply_relayed(daemon, &news.into()));
     // The sender's proof was so old when it answered, which was after it was asked.
     if let Some(age_ms) = relay.config_age_ms.filter(|_| taken) {
-        daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
+        daemon.freshness.record_config_proof(asked_ms.saturating_sub(age_ms));
     }
     let next_ms = pace(daemon).calm_ms();
     let now_ms = daemon.knowledge.now_ms();
     let age_ms = relay.age_ms + now_ms.saturating_sub(asked_ms);
-    let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
+    let is_fresh = daemon.freshness.record_relay(age_ms, next_ms, now_ms);
     if is_fresh {
-        endpoints::take_passed_on(daemon, relay.endpoints.into(), age_ms);
+        endpoints::apply_relayed(daemon, relay.endpoints.into(), age_ms);
     }
 }
--- a/crates/trestle-entry/src/stop.rs
+++ b/crates/trestle-entry/src/stop.rs
@@ -5,7 +5,8 @@
 //! their requests do, and last the lease on orders is given up.
 
 use crate::{
-    control::message::Message, daemon::Daemon, stopping::NOTICE_MS, traffic::serve::Closing,
+    control::message::Message, daemon::Daemon, stopping::NOTICE_MS,
+    traffic::serve::ListenerShutdown,
 };
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
@@ -28,7 +29,7 @@
 /// Fails if signals cannot be received.
 pub(crate) async fn wait(
     daemon: &Daemon,
-    closing: &Arc<Closing>,
+    closing: &Arc<ListenerShutdown>,
     reread: impl Fn(),
 ) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
@@ -44,22 +45,22 @@
     tracing::info!(in_flight = daemon.in_flight.load(Ordering::Relaxed), "stop: Stopping.");
     daemon.stopping.begin(started_ms);
     Timer::after(Duration::from_millis(NOTICE_MS.saturating_sub(elapsed_ms()))).await;
-    closing.close();
+    closing.begin();
     // Orders go on meanwhile, since nobody may give any for a while after the lease is
     // given up, and this daemon's own requests still wait for models.
     let drained_by_ms = daemon.stopping.limit_ms() - LEAVE_MS;
     let drained = async {
-        while closing.open() > 0 && elapsed_ms() < drained_by_ms {
+        while closing.open_connections() > 0 && elapsed_ms() < drained_by_ms {
             Timer::after(Duration::from_millis(LOOK_MS)).await;
         }
     };
     drained.await;
     leave(daemon).await;
     let limit_ms = daemon.stopping.limit_ms();
-    while closing.open() > 0 && elapsed_ms() < limit_ms {
+    while closing.open_connections() > 0 && elapsed_ms() < limit_ms {
         Timer::after(Duration::from_millis(LOOK_MS)).await;
     }
-    tracing::info!(open = closing.open(), "stop: Stopped.");
+    tracing::info!(open = closing.open_connections(), "stop: Stopped.");
     Ok(())
 }
 
--- a/crates/trestle-entry/src/store/client.rs
+++ b/crates/trestle-entry/src/store/client.rs
@@ -77,7 +77,7 @@
     }
 
     /// Applies changed freshness bounds.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
         self.outage(|outage, _| outage.set_longest_pause_ms(longest_pause_ms(bounds)));
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Returns the number of calls since the start of the daemon.
-    pub(crate) fn calls(&self) -> u64 {
+    pub(crate) fn call_count(&self) -> u64 {
         self.count.load(Ordering::Relaxed)
     }
 
--- a/crates/trestle-entry/src/store/config.rs
+++ b/crates/trestle-entry/src/store/config.rs
@@ -46,13 +46,13 @@
 /// unless a row could not be read.
 fn note_proven(daemon: &Daemon, taken: bool, asked_ms: u64) {
     if taken {
-        daemon.freshness.config_proven(asked_ms);
+        daemon.freshness.record_config_proof(asked_ms);
     }
 }
 
 /// Records that the store answered a read of the configuration.
 fn note_read(daemon: &Daemon) {
-    daemon.freshness.config_read(daemon.knowledge.now_ms());
+    daemon.freshness.record_config_read(daemon.knowledge.now_ms());
 }
 
 /// Applies a row of the configuration's table. Returns whether its content could be read; rows with
@@ -63,7 +63,7 @@
 }
 
 /// Applies a configuration that another daemon passed on. Returns whether it could be read.
-pub(crate) fn take_passed_on(daemon: &Daemon, news: &ConfigUpdate) -> bool {
+pub(crate) fn apply_relayed(daemon: &Daemon, news: &ConfigUpdate) -> bool {
     match news {
         ConfigUpdate::Whole(packed) => match packed.decompress() {
             Some(text) => take_text(daemon, &text),
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -44,7 +44,7 @@
         on_read: |page: RowPage, _| {
             let version = page.version;
             match read(&daemon, to_news(&daemon, page.rows.into_iter(), version)) {
-                true => daemon.freshness.whole_list_read(),
+                true => daemon.freshness.record_full_list_read(),
                 false => tracing::info!(version, "endpoint: An older list was read."),
             }
         },
@@ -69,13 +69,13 @@
 /// list that is not older than the one known here.
 fn read(daemon: &Daemon, news: ListUpdate) -> bool {
     let now_ms = daemon.knowledge.now_ms();
-    daemon.freshness.endpoints_read(now_ms);
+    daemon.freshness.record_endpoints_read(now_ms);
     take(daemon, news, Source::Store, ListOrigin { source: ListSource::Store, known_ms: now_ms })
 }
 
 /// Applies an update of the list that a leader passed on, which leaves out the models that engines
 /// hold. The update was current `age_ms` ago.
-pub(crate) fn take_passed_on(daemon: &Daemon, news: ListUpdate, age_ms: u64) {
+pub(crate) fn apply_relayed(daemon: &Daemon, news: ListUpdate, age_ms: u64) {
     let known_ms = daemon.knowledge.now_ms().saturating_sub(age_ms);
     take(daemon, news, Source::Leader, ListOrigin { source: ListSource::Leader, known_ms });
 }
--- a/crates/trestle-entry/src/store/follow.rs
+++ b/crates/trestle-entry/src/store/follow.rs
@@ -41,8 +41,8 @@
     let mut is_lost = false;
     let mut is_relayed = false;
     loop {
-        let began_to_lead = daemon.freshness.began_to_lead();
-        let relayed_ms = daemon.freshness.relayed_for_ms(daemon.knowledge.now_ms());
+        let leadership_began = daemon.freshness.leadership_began();
+        let relayed_ms = daemon.freshness.relay_valid_for_ms(daemon.knowledge.now_ms());
         if is_relayed != (relayed_ms > 0) {
             is_relayed = relayed_ms > 0;
             let table = followed.table;
@@ -52,7 +52,7 @@
             follower.reconnect().await;
         }
         if relayed_ms > 0 {
-            began_to_lead.or(pause(relayed_ms)).await;
+            leadership_began.or(pause(relayed_ms)).await;
             continue;
         }
         // During an outage the daemon's other callers wait for the result of this try, so the store
@@ -61,7 +61,7 @@
         let after = (followed.after)(last);
         let step = async { Some(step(daemon, &followed, &follower, after, wait_ms).await) };
         let interrupted = async {
-            began_to_lead.await;
+            leadership_began.await;
             None
         };
         // A daemon that becomes leader must read more than the changes it waits for.
@@ -75,7 +75,7 @@
                 last = next;
                 let gather_ms = (followed.gather_ms)();
                 if gather_ms > 0 {
-                    daemon.freshness.began_to_lead().or(pause(gather_ms)).await;
+                    daemon.freshness.leadership_began().or(pause(gather_ms)).await;
                 }
             }
             Err(_) => {
--- a/crates/trestle-entry/src/store/freshness.rs
+++ b/crates/trestle-entry/src/store/freshness.rs
@@ -31,8 +31,8 @@
     must_reread: AtomicBool,
     /// Whether this daemon leads and has read the whole list of endpoints since it began to. The
     /// list in the store includes the copies of weights, which relays leave out.
-    is_informed: AtomicBool,
-    began_to_lead: Event,
+    has_read_list: AtomicBool,
+    leadership_began: Event,
     relayed_until_ms: AtomicU64,
     endpoints_read_ms: AtomicU64,
     config_read_ms: AtomicU64,
@@ -54,8 +54,8 @@
         Self {
             is_leader: AtomicBool::new(false),
             must_reread: AtomicBool::new(false),
-            is_informed: AtomicBool::new(false),
-            began_to_lead: Event::new(),
+            has_read_list: AtomicBool::new(false),
+            leadership_began: Event::new(),
             relayed_until_ms: AtomicU64::new(0),
             endpoints_read_ms: AtomicU64::new(0),
             config_read_ms: AtomicU64::new(0),
@@ -68,7 +68,7 @@
     }
 
     /// Applies changed freshness bounds.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
         self.shortest_bound_ms.store(bounds.shortest_ms(), Ordering::SeqCst);
         self.config_bound_ms.store(bounds.config_ms, Ordering::SeqCst);
         let keys_bound_ms = bounds.key_withdrawal_ms.unwrap_or(u64::MAX);
@@ -81,8 +81,8 @@
         if is_leader {
             self.relayed_until_ms.store(0, Ordering::SeqCst);
             self.must_reread.store(true, Ordering::SeqCst);
-            self.is_informed.store(false, Ordering::SeqCst);
-            self.began_to_lead.notify(usize::MAX);
+            self.has_read_list.store(false, Ordering::SeqCst);
+            self.leadership_began.notify(usize::MAX);
         }
     }
 
@@ -92,20 +92,20 @@
     }
 
     /// Returns a listener that is notified when this daemon begins to lead.
-    pub(crate) fn began_to_lead(&self) -> EventListener {
-        self.began_to_lead.listen()
+    pub(crate) fn leadership_began(&self) -> EventListener {
+        self.leadership_began.listen()
     }
 
     /// Records that the whole list of endpoints was read from the store.
-    pub(crate) fn whole_list_read(&self) {
+    pub(crate) fn record_full_list_read(&self) {
         self.must_reread.store(false, Ordering::SeqCst);
-        self.is_informed.store(self.is_leader(), Ordering::SeqCst);
+        self.has_read_list.store(self.is_leader(), Ordering::SeqCst);
     }
 
     /// Returns whether this leader knows enough about the engines to give orders: it has read the
     /// whole list since it began to lead.
-    pub(crate) fn is_informed(&self) -> bool {
-        self.is_informed.load(Ordering::SeqCst)
+    pub(crate) fn has_read_list(&self) -> bool {
+        self.has_read_list.load(Ordering::SeqCst)
     }
 
     /// Returns whether the whole list of endpoints must be read from the store again.
@@ -119,18 +119,18 @@
     }
 
     /// Records an answer of the store about the list of endpoints.
-    pub(crate) fn endpoints_read(&self, now_ms: u64) {
+    pub(crate) fn record_endpoints_read(&self, now_ms: u64) {
         self.endpoints_read_ms.store(now_ms, Ordering::SeqCst);
     }
 
     /// Records an answer of the store about the configuration.
-    pub(crate) fn config_read(&self, now_ms: u64) {
+    pub(crate) fn record_config_read(&self, now_ms: u64) {
         self.config_read_ms.store(now_ms, Ordering::SeqCst);
         self.config_known_ms.fetch_max(now_ms, Ordering::SeqCst);
     }
 
     /// Records that the configuration in force was the newest at some moment after `since_ms`.
-    pub(crate) fn config_proven(&self, since_ms: u64) {
+    pub(crate) fn record_config_proof(&self, since_ms: u64) {
         self.config_proven_ms.fetch_max(since_ms, Ordering::SeqCst);
     }
 
@@ -164,7 +164,7 @@
 
     /// Records a relay from the leader: the age of the leader's knowledge, and the time until the
     /// next relay is due. Returns whether the knowledge is fresh enough.
-    pub(crate) fn relayed(&self, age_ms: u64, next_ms: u64, now_ms: u64) -> bool {
+    pub(crate) fn record_relay(&self, age_ms: u64, next_ms: u64, now_ms: u64) -> bool {
         self.config_known_ms.fetch_max(now_ms.saturating_sub(age_ms), Ordering::SeqCst);
         let is_fresh = age_ms <= self.wait_ms() + AGE_GRACE_MS;
         if is_fresh && !self.is_leader() {
@@ -179,7 +179,7 @@
     }
 
     /// Returns for how long the last relay makes following the store unnecessary.
-    pub(crate) fn relayed_for_ms(&self, now_ms: u64) -> u64 {
+    pub(crate) fn relay_valid_for_ms(&self, now_ms: u64) -> u64 {
         self.relayed_until_ms.load(Ordering::SeqCst).saturating_sub(now_ms)
     }
 
--- a/crates/trestle-entry/src/tidy.rs
+++ b/crates/trestle-entry/src/tidy.rs
@@ -37,6 +37,6 @@
             local_view.backpressure.retain(|incarnation| live.contains(incarnation), now_ms);
         });
         daemon.with_endpoint_limits(|limits| limits.cleanup(now_ms));
-        daemon.pool.tidy(|start| live.contains(start));
+        daemon.pool.cleanup(|start| live.contains(start));
     }
 }
--- a/crates/trestle-entry/src/traffic/answer.rs
+++ b/crates/trestle-entry/src/traffic/answer.rs
@@ -78,7 +78,7 @@
             Self::MayHaveRun => StatusCode::BAD_GATEWAY,
             Self::OutOfTime => StatusCode::GATEWAY_TIMEOUT,
         };
-        let mut response = Response::new(whole(Bytes::from_static(self.name().as_bytes())));
+        let mut response = Response::new(full_body(Bytes::from_static(self.name().as_bytes())));
         *response.status_mut() = status;
         if self == Self::NoKey {
             let scheme = HeaderValue::from_static(KEY_SCHEME);
@@ -98,7 +98,7 @@
 }
 
 /// Returns a body with this content.
-pub(crate) fn whole(content: Bytes) -> Body {
+pub(crate) fn full_body(content: Bytes) -> Body {
     Full::new(content).map_err(never).boxed_unsync()
 }
 
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -2,7 +2,7 @@
 //! on.
 
 use crate::traffic::{
-    answer::{Body, Failure, RETRY_SOON_MS, whole},
+    answer::{Body, Failure, RETRY_SOON_MS, full_body},
     attempt,
     outcome::{Unanswered, WholeAnswer},
     patience::Patience,
@@ -53,7 +53,7 @@
     };
     let response = match (ended, failed_answer) {
         // The endpoint's own failure tells the caller more than one of the daemon's.
-        (Err(_), Some(answer)) | (Ok(answer), _) => Ok(answer.response.map(whole)),
+        (Err(_), Some(answer)) | (Ok(answer), _) => Ok(answer.response.map(full_body)),
         (Err(_), None) if sends.may_have_run && task.is_over() => Err(Failure::OutOfTime),
         (Err(_), None) if sends.may_have_run => Err(Failure::MayHaveRun),
         (Err(Failure::MayHaveRun), None) => {
--- a/crates/trestle-entry/src/traffic/serve.rs
+++ b/crates/trestle-entry/src/traffic/serve.rs
@@ -25,7 +25,7 @@
 
 /// Limits of one connection.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limits {
+pub(crate) struct ConnectionLimits {
     /// Largest size of a request's head.
     pub(crate) header_bytes: usize,
     /// Longest time from the end of one request until the head of the next has been read.
@@ -34,21 +34,21 @@
 
 /// Closes the connections of a listener.
 #[derive(Debug, Default)]
-pub(crate) struct Closing {
+pub(crate) struct ListenerShutdown {
     is_closing: AtomicBool,
     closing: Event,
     open: AtomicUsize,
 }
 
-impl Closing {
+impl ListenerShutdown {
     /// Closes each connection once its request is answered, and idle connections at once.
-    pub(crate) fn close(&self) {
+    pub(crate) fn begin(&self) {
         self.is_closing.store(true, Ordering::SeqCst);
         self.closing.notify(usize::MAX);
     }
 
     /// Returns the number of open connections.
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
@@ -64,8 +64,8 @@
 /// Accepts connections and serves their requests until the process ends.
 pub(crate) async fn run<H, F, B>(
     listener: TcpListener,
-    closing: Arc<Closing>,
-    limits: impl Fn() -> Limits,
+    closing: Arc<ListenerShutdown>,
+    limits: impl Fn() -> ConnectionLimits,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -91,8 +91,12 @@
 }
 
 /// Serves one connection until it is closed.
-async fn serve<H, F, B>(stream: TcpStream, closing: Arc<Closing>, limits: Limits, handle: H)
-where
+async fn serve<H, F, B>(
+    stream: TcpStream,
+    closing: Arc<ListenerShutdown>,
+    limits: ConnectionLimits,
+    handle: H,
+) where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
     B: Body + Send + 'static,
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -6,7 +6,7 @@
 //! closed without the end of the stream.
 
 use crate::traffic::{
-    answer::{Broken, Failure, RETRY_SOON_MS, whole},
+    answer::{Broken, Failure, RETRY_SOON_MS, full_body},
     attempt::{self, Attempt},
     events::EventBuffer,
     outcome::WholeAnswer,
@@ -44,7 +44,7 @@
             let body = StreamBody::new(stream::unfold(running, Running::next)).boxed_unsync();
             Ok(Response::from_parts(*parts, body))
         }
-        Ok(Opened::Whole(answer)) => Ok(answer.response.map(whole)),
+        Ok(Opened::Whole(answer)) => Ok(answer.response.map(full_body)),
         Err(failure) => Err(failure),
     };
     Outcome { response, endpoint, sends, is_stream }
