--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -20,7 +20,7 @@
 
 /// What a request needs.
 #[derive(Debug, Clone, Copy)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model, where the service is one of engines.
@@ -35,7 +35,7 @@
 
 /// What is known when the choice is made.
 #[derive(Debug, Clone, Copy)]
-pub struct Known<'a> {
+pub struct ChoiceInputs<'a> {
     /// What this daemon believes.
     pub local_view: &'a LocalView,
     /// What the leader says of the service.
@@ -60,7 +60,7 @@
 
 /// An endpoint that could run a request if it had not asked for less.
 #[trestle_macros::plain]
-pub struct HeldBack {
+pub struct Throttled {
     /// The endpoint.
     pub incarnation: Incarnation,
     /// Time until it takes the next request.
@@ -74,7 +74,11 @@
 /// Endpoints that have named a limit are taken only if there is no other, but for a trial now and
 /// then; those that failed lately only if there is none of these either. The lot must differ from
 /// request to request and from daemon to daemon.
-pub fn choose<'a>(known: Known<'a>, need: Need<'_>, lot: u64) -> Option<&'a Endpoint> {
+pub fn choose<'a>(
+    known: ChoiceInputs<'a>,
+    need: Requirements<'_>,
+    lot: u64,
+) -> Option<&'a Endpoint> {
     let directory = &known.local_view.directory;
     let able = directory.iter().filter(|endpoint| is_able(&known, &need, endpoint));
     let (mut sound, mut limited, mut avoided) = (Vec::new(), Vec::new(), Vec::new());
@@ -98,39 +102,43 @@
 }
 
 /// Whether some endpoint has what a request needs, though it may be full or set aside now.
-pub fn is_here(known: Known<'_>, need: Need<'_>) -> bool {
+pub fn is_loaded(known: ChoiceInputs<'_>, need: Requirements<'_>) -> bool {
     let Some(model) = need.model else { return false };
     let mut usable = known.local_view.directory.usable(need.service);
     usable.any(|endpoint| known.replicas.can_run(endpoint, model, need.adapter))
 }
 
 /// Whether there is an endpoint for a request that did not fail lately and has asked for nothing.
-pub fn has_sound(known: Known<'_>, need: Need<'_>) -> bool {
+pub fn has_healthy(known: ChoiceInputs<'_>, need: Requirements<'_>) -> bool {
     let directory = &known.local_view.directory;
     let mut able = directory.iter().filter(|endpoint| is_able(&known, &need, endpoint));
     able.any(|endpoint| is_sound(&known, endpoint) && standing(&known, endpoint) == Standing::Open)
 }
 
 /// The endpoint that takes a request soonest, if every one that could run it has asked for less.
-pub fn held_back(known: Known<'_>, need: Need<'_>) -> Option<HeldBack> {
+pub fn throttled(known: ChoiceInputs<'_>, need: Requirements<'_>) -> Option<Throttled> {
     if known.local_view.backpressure.is_empty() {
         return None;
     }
     let directory = &known.local_view.directory;
-    let mut soonest: Option<HeldBack> = None;
+    let mut soonest: Option<Throttled> = None;
     for endpoint in directory.iter().filter(|endpoint| is_able(&known, &need, endpoint)) {
         let Standing::Closed { for_ms } = standing(&known, endpoint) else { return None };
         if soonest.as_ref().is_none_or(|soonest| for_ms < soonest.for_ms) {
             let incarnation = endpoint.incarnation();
             let is_limited = known.local_view.backpressure.limit(&incarnation).is_some();
-            soonest = Some(HeldBack { incarnation, for_ms, is_limited });
+            soonest = Some(Throttled { incarnation, for_ms, is_limited });
         }
     }
     soonest
 }
 
 /// Whether a request may be sent to a life of an endpoint at which it has a place.
-pub fn is_open_with_place(known: Known<'_>, need: Need<'_>, incarnation: &Incarnation) -> bool {
+pub fn accepts_with_permit(
+    known: ChoiceInputs<'_>,
+    need: Requirements<'_>,
+    incarnation: &Incarnation,
+) -> bool {
     let endpoint = known.local_view.directory.get(&incarnation.name);
     let endpoint =
         endpoint.filter(|endpoint| endpoint.started_unix_ms == incarnation.started_unix_ms);
@@ -138,7 +146,7 @@
     !rests && endpoint.is_some_and(|endpoint| is_able(&known, &need, endpoint))
 }
 
-fn standing(known: &Known<'_>, endpoint: &Endpoint) -> Standing {
+fn standing(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> Standing {
     let backpressure = &known.local_view.backpressure;
     if backpressure.is_empty() {
         return Standing::Open;
@@ -155,16 +163,16 @@
 }
 
 /// Whether a request should try an endpoint with a limit though another could take it.
-fn is_trial_due(known: &Known<'_>, endpoint: &Endpoint) -> bool {
-    let Known { local_view, now_ms, .. } = known;
+fn is_trial_due(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
+    let ChoiceInputs { local_view, now_ms, .. } = known;
     local_view.backpressure.is_trial_due(&endpoint.incarnation(), local_view.daemons, *now_ms)
 }
 
-fn is_sound(known: &Known<'_>, endpoint: &Endpoint) -> bool {
+fn is_sound(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
     !known.local_view.records.of(&endpoint.name).health.is_avoided(known.now_ms)
 }
 
-fn is_able(known: &Known<'_>, need: &Need<'_>, endpoint: &Endpoint) -> bool {
+fn is_able(known: &ChoiceInputs<'_>, need: &Requirements<'_>, endpoint: &Endpoint) -> bool {
     let is_listed = endpoint.service == *need.service && !endpoint.is_draining;
     is_listed
         && !need.excluded.contains(&endpoint.name)
@@ -174,7 +182,7 @@
 
 /// Whether a model, and one of its adapters, is at an endpoint.
 fn has(
-    known: &Known<'_>,
+    known: &ChoiceInputs<'_>,
     endpoint: &Endpoint,
     model: &ModelName,
     adapter: Option<&AdapterName>,
@@ -186,7 +194,7 @@
 /// How loaded an endpoint is, as a share of its slots, and how often it fails. The share
 /// of failures is squared: a failure now and then moves no load, and an endpoint that
 /// fails half of its requests counts like one that is a quarter full.
-fn cost(known: &Known<'_>, endpoint: &Endpoint) -> f64 {
+fn cost(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> f64 {
     let record = known.local_view.records.of(&endpoint.name);
     let running = known.local_view.running(endpoint);
     let crossing = if endpoint.domain == known.local_view.domain { 0.0 } else { CROSSING_SHARE };
--- a/crates/trestle-entry/src/traffic/patience.rs
+++ b/crates/trestle-entry/src/traffic/patience.rs
@@ -43,7 +43,7 @@
 
     /// Returns whether the route allows sending the request to another endpoint.
     fn may_move(&self) -> bool {
-        self.task.route.is_idempotent() && self.sends.has_more(&self.task.route)
+        self.task.route.is_idempotent() && self.sends.has_attempt_left(&self.task.route)
     }
 
     /// Returns whether another endpoint could run the request now.
