--- a/crates/trestle-entry/src/net/connect.rs
+++ b/crates/trestle-entry/src/net/connect.rs
@@ -6,14 +6,14 @@
 use std::{io, net::SocketAddr, time::Duration};
 
 /// Idle time after which the system sends the first keep-alive probe.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 /// Time between two keep-alive probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered probes after which the connection counts as dead. With the times above, a
 /// peer that vanished is detected within three seconds.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Longest time for which sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Opens a connection that fails soon after its peer has vanished.
 ///
@@ -26,7 +26,7 @@
         Err(io::ErrorKind::TimedOut.into())
     };
     let stream = TcpStream::connect(address).or(timed_out).await?;
-    prepare(&stream)?;
+    set_options(&stream)?;
     // A request that was given up must not be delivered later. With a linger time of zero, the
     // system discards unsent bytes when the connection is dropped, instead of sending them once an
     // interrupted link works again.
@@ -35,11 +35,13 @@
 }
 
 /// Sets the options that every connection of the daemon has.
-pub(crate) fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_EVERY).with_retries(PROBES);
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/trestle-entry/src/net/exchange.rs
+++ b/crates/trestle-entry/src/net/exchange.rs
@@ -21,11 +21,11 @@
 /// Largest answer body that is accepted.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// Longest pause while a body arrives. A connection that has gone silent must be detected.
-const MOST_PAUSE_MS: u64 = 700;
+const MAX_PAUSE_MS: u64 = 700;
 /// Longest time for reading a body that keeps arriving.
-const MOST_READ: Duration = Duration::from_secs(5);
+const MAX_READ_TIME: Duration = Duration::from_secs(5);
 /// Longest time for opening a connection.
-const CONNECT_MS: u64 = 400;
+const CONNECT_TIMEOUT_MS: u64 = 400;
 
 /// An exchange that failed to produce a complete answer.
 #[derive(Debug, Snafu)]
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) struct CallClient {
     address: SocketAddr,
-    kept: Mutex<Option<SendRequest<Full<Bytes>>>>,
+    idle: Mutex<Option<SendRequest<Full<Bytes>>>>,
 }
 
 /// A complete answer.
@@ -65,12 +65,12 @@
 impl CallClient {
     /// Creates a client that connects with its first exchange.
     pub(crate) fn new(address: SocketAddr) -> Self {
-        Self { address, kept: Mutex::new(None) }
+        Self { address, idle: Mutex::new(None) }
     }
 
     /// Drops the connection, so that the next exchange opens a new one.
     pub(crate) async fn disconnect(&self) {
-        self.kept.lock().await.take();
+        self.idle.lock().await.take();
     }
 
     /// Sends a call and reads the complete answer.
@@ -80,13 +80,14 @@
     /// Fails if no connection can be opened or no complete answer arrives in time. The call may
     /// have taken effect.
     pub(crate) async fn exchange(&self, call: Call, timeout_ms: u64) -> Result<Answer, Error> {
-        let mut kept = self.kept.lock().await;
+        let mut idle = self.idle.lock().await;
         let address = self.address;
-        let sender = kept.take();
-        let (response, sender) = within(timeout_ms, address, send(sender, address, call)).await?;
+        let sender = idle.take();
+        let (response, sender) =
+            with_timeout(timeout_ms, address, send(sender, address, call)).await?;
         let (head, body) = response.into_parts();
         let body = read_body(body, address, timeout_ms).await?;
-        *kept = Some(sender);
+        *idle = Some(sender);
         Ok(Answer { status: head.status.as_u16(), headers: head.headers, body })
     }
 }
@@ -96,17 +97,17 @@
 async fn read_body(body: Incoming, address: SocketAddr, timeout_ms: u64) -> Result<Bytes, Error> {
     let mut body = Limited::new(body, MAX_ANSWER_BYTES);
     let mut content = BytesMut::new();
-    let begun = Instant::now();
-    while begun.elapsed() < MOST_READ {
+    let started = Instant::now();
+    while started.elapsed() < MAX_READ_TIME {
         let frame = async { Ok(body.frame().await) };
-        let Some(frame) = within(timeout_ms.min(MOST_PAUSE_MS), address, frame).await? else {
+        let Some(frame) = with_timeout(timeout_ms.min(MAX_PAUSE_MS), address, frame).await? else {
             return Ok(content.freeze());
         };
         if let Ok(data) = frame.context(BodySnafu { address })?.into_data() {
             content.extend_from_slice(&data);
         }
     }
-    TimedOutSnafu { address, timeout_ms: MOST_READ.as_millis() as u64 }.fail()
+    TimedOutSnafu { address, timeout_ms: MAX_READ_TIME.as_millis() as u64 }.fail()
 }
 
 /// Awaits a future.
@@ -114,26 +115,26 @@
 /// # Errors
 ///
 /// Fails with the future's error, or if it does not complete within `timeout_ms`.
-async fn within<T>(
+async fn with_timeout<T>(
     timeout_ms: u64,
     address: SocketAddr,
-    awaited: impl Future<Output = Result<T, Error>>,
+    future: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
     let timed_out = async {
         Timer::after(Duration::from_millis(timeout_ms)).await;
         TimedOutSnafu { address, timeout_ms }.fail()
     };
-    awaited.or(timed_out).await
+    future.or(timed_out).await
 }
 
-/// Sends a call over the kept connection, or over a new one if that is closed. Returns the head of
+/// Sends a call over the idle connection, or over a new one if that is closed. Returns the head of
 /// the answer, and the connection for the next call.
 async fn send(
-    kept: Option<SendRequest<Full<Bytes>>>,
+    idle: Option<SendRequest<Full<Bytes>>>,
     address: SocketAddr,
     call: Call,
 ) -> Result<(Response<Incoming>, SendRequest<Full<Bytes>>), Error> {
-    let mut sender = match kept {
+    let mut sender = match idle {
         Some(sender) if sender.is_ready() => sender,
         _ => handshake(address).await?,
     };
@@ -144,7 +145,8 @@
 
 /// Opens a connection, and drives it in a task of its own.
 async fn handshake(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, Error> {
-    let stream = connect::open(address, CONNECT_MS).await.context(ConnectSnafu { address })?;
+    let stream =
+        connect::open(address, CONNECT_TIMEOUT_MS).await.context(ConnectSnafu { address })?;
     let (sender, connection) =
         http1::handshake(FuturesIo::new(stream)).await.context(HttpSnafu { address })?;
     smol::spawn(async move {
--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -27,23 +27,23 @@
 /// timeout. It is below the shortest timeout that endpoints report.
 const DEFAULT_IDLE_MS: u64 = 900;
 /// Fraction of the endpoint's own idle timeout for which a connection is kept.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// Most idle connections that are kept to one endpoint.
-const MOST_KEPT: usize = 16;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 /// Idle connections, by the start of the endpoint that they were opened to.
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
-    kept: Mutex<BTreeMap<Incarnation, Vec<Kept>>>,
+    idle: Mutex<BTreeMap<Incarnation, Vec<IdleConnection>>>,
 }
 
 /// An idle connection.
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     /// Until when the connection may be used, on the daemon's clock.
-    until_ms: u64,
+    expires_ms: u64,
     opened_ms: u64,
 }
 
@@ -67,7 +67,7 @@
 impl Pool {
     /// Creates an empty pool.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, kept: Mutex::default() }
+        Self { clock, idle: Mutex::default() }
     }
 
     /// Returns an idle connection to an endpoint, or opens one.
@@ -76,7 +76,7 @@
     ///
     /// Fails if no connection can be opened.
     pub(crate) async fn connection(&self, endpoint: &Endpoint) -> io::Result<Connection> {
-        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
+        if let Some(IdleConnection { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
             return Ok(Connection { sender, is_fresh: false, opened_ms });
         }
         let sender = open(endpoint.address).await?;
@@ -89,41 +89,41 @@
         if connection.sender.is_closed() {
             return;
         }
-        let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_PART) as u64);
-        let until_ms = self.clock.now_ms() + idle_ms;
-        let mut kept = self.lock();
-        let of_endpoint = kept.entry(endpoint.incarnation()).or_default();
-        if of_endpoint.len() < MOST_KEPT {
+        let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_FRACTION) as u64);
+        let expires_ms = self.clock.now_ms() + idle_ms;
+        let mut idle = self.lock();
+        let connections = idle.entry(endpoint.incarnation()).or_default();
+        if connections.len() < MAX_IDLE_PER_ENDPOINT {
             let Connection { sender, opened_ms, .. } = connection;
-            of_endpoint.push(Kept { sender, until_ms, opened_ms });
+            connections.push(IdleConnection { sender, expires_ms, opened_ms });
         }
     }
 
     /// Closes connections that were idle for too long, and those to endpoints that are not live.
     pub(crate) fn cleanup(&self, is_live: impl Fn(&Incarnation) -> bool) {
         let now_ms = self.clock.now_ms();
-        let mut kept = self.lock();
-        kept.retain(|endpoint, connections| {
-            connections.retain(|kept| now_ms < kept.until_ms && !kept.sender.is_closed());
+        let mut idle = self.lock();
+        idle.retain(|endpoint, connections| {
+            connections.retain(|idle| now_ms < idle.expires_ms && !idle.sender.is_closed());
             !connections.is_empty() && is_live(endpoint)
         });
     }
 
     /// Removes and returns an idle connection that can still be used.
-    fn take(&self, endpoint: &Incarnation) -> Option<Kept> {
+    fn take(&self, endpoint: &Incarnation) -> Option<IdleConnection> {
         let now_ms = self.clock.now_ms();
-        let mut kept = self.lock();
-        let of_endpoint = kept.get_mut(endpoint)?;
-        while let Some(candidate) = of_endpoint.pop() {
-            if now_ms < candidate.until_ms && candidate.sender.is_ready() {
+        let mut idle = self.lock();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(candidate) = connections.pop() {
+            if now_ms < candidate.expires_ms && candidate.sender.is_ready() {
                 return Some(candidate);
             }
         }
         None
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<Kept>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -150,9 +150,9 @@
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
-                let never_left = error.take_message().is_some();
+                let was_not_sent = error.take_message().is_some();
                 let text = error.into_error().to_string();
-                Err(if never_left { SendError::NotSent(text) } else { SendError::Unknown(text) })
+                Err(if was_not_sent { SendError::NotSent(text) } else { SendError::Unknown(text) })
             }
         }
     }
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -36,7 +36,7 @@
 }
 
 async fn serve(daemon: Arc<Daemon>, stream: TcpStream) {
-    if let Err(error) = crate::net::connect::prepare(&stream) {
+    if let Err(error) = crate::net::connect::set_options(&stream) {
         tracing::debug!(%error, "peer: A connection has the system's own options.");
     }
     let framed = LengthDelimitedCodec::builder().new_framed(stream.compat());
--- a/crates/trestle-entry/src/store/client.rs
+++ b/crates/trestle-entry/src/store/client.rs
@@ -26,10 +26,10 @@
 /// The partition that holds all rows of the platform's own tables.
 const SHARED_PARTITION: &str = "";
 /// Longest time for a read or a write. A slow store takes some 600 ms for a transaction.
-const CALL_MS: u64 = 1_500;
+const CALL_TIMEOUT_MS: u64 = 1_500;
 /// Divisor of the shortest freshness bound: a store that does not answer is tried again after this
 /// part of the bound at the latest.
-const RETRY_PART: u64 = 3;
+const RETRY_DIVISOR: u64 = 3;
 /// Time that a wait for changes may take beyond the time for which the store holds it.
 const FOLLOW_GRACE_MS: u64 = 700;
 
@@ -48,10 +48,10 @@
     wire: StoreWire,
     address: SocketAddr,
     calls: CallClient,
-    count: AtomicU64,
+    call_count: AtomicU64,
     clock: Clock,
     outage: Mutex<Outage>,
-    answered: Event,
+    answers_again: Event,
 }
 
 /// A client with a connection of its own for following one table.
@@ -69,10 +69,10 @@
             wire,
             address,
             calls: CallClient::new(address),
-            count: AtomicU64::new(0),
+            call_count: AtomicU64::new(0),
             clock: Clock::start(),
             outage: Mutex::new(Outage::new(longest_pause_ms(bounds))),
-            answered: Event::new(),
+            answers_again: Event::new(),
         }
     }
 
@@ -87,19 +87,19 @@
     }
 
     /// Waits until a call may be made, and reserves it. Returns at once while the store answers.
-    pub(crate) async fn next_try(&self) {
+    pub(crate) async fn reserve_try(&self) {
         loop {
-            let answered = self.answered.listen();
+            let answers_again = self.answers_again.listen();
             let Err(wait_ms) = self.outage(|outage, now_ms| outage.try_now(now_ms)) else { return };
             let timer = async {
                 Timer::after(Duration::from_millis(wait_ms)).await;
             };
-            answered.or(timer).await;
+            answers_again.or(timer).await;
         }
     }
 
     /// Records whether the store answered a call, and wakes waiting callers when it answers again.
-    fn note(&self, has_answered: bool) {
+    fn record_result(&self, has_answered: bool) {
         let is_back = self.outage(|outage, now_ms| match has_answered {
             true => outage.answered(),
             false => {
@@ -108,27 +108,28 @@
             }
         });
         if is_back {
-            self.answered.notify(usize::MAX);
+            self.answers_again.notify(usize::MAX);
         }
     }
 
-    fn outage<R>(&self, look: impl FnOnce(&mut Outage, u64) -> R) -> R {
+    /// Accesses the record of outages, with the current time.
+    fn outage<R>(&self, access: impl FnOnce(&mut Outage, u64) -> R) -> R {
         let now_ms = self.clock.now_ms();
-        look(&mut self.outage.lock().unwrap_or_else(PoisonError::into_inner), now_ms)
+        access(&mut self.outage.lock().unwrap_or_else(PoisonError::into_inner), now_ms)
     }
 
     /// Reads all rows of a partition of a table.
     pub(crate) async fn read(&self, table: &str, partition: &str) -> Result<RowPage, Error> {
         let read = self.read_over(&self.calls, table, partition).await;
-        self.note(read.is_ok());
+        self.record_result(read.is_ok());
         read
     }
 
     /// Makes a conditional write and returns its outcome, which may be unknown.
     pub(crate) async fn write(&self, write: &ConditionalWrite) -> WriteOutcome {
-        self.count.fetch_add(1, Ordering::Relaxed);
+        self.call_count.fetch_add(1, Ordering::Relaxed);
         let call = (self.wire.write_call)(write);
-        let outcome = match self.calls.exchange(call, CALL_MS).await {
+        let outcome = match self.calls.exchange(call, CALL_TIMEOUT_MS).await {
             Ok(answer) => (self.wire.write_answer)(answer.status, &answer.body),
             Err(error) => {
                 tracing::warn!(%error, "store: The outcome of a write is unknown.");
@@ -136,10 +137,10 @@
             }
         };
         match outcome {
-            WriteOutcome::Refused => self.note(false),
+            WriteOutcome::Refused => self.record_result(false),
             // The caller reads the row back at once, and that read shows whether the store answers.
             WriteOutcome::Unknown => {}
-            WriteOutcome::Written(_) | WriteOutcome::Conflict(_) => self.note(true),
+            WriteOutcome::Written(_) | WriteOutcome::Conflict(_) => self.record_result(true),
         }
         outcome
     }
@@ -151,7 +152,7 @@
 
     /// Returns the number of calls since the start of the daemon.
     pub(crate) fn call_count(&self) -> u64 {
-        self.count.load(Ordering::Relaxed)
+        self.call_count.load(Ordering::Relaxed)
     }
 
     /// Reads all pages of a partition over a client's connection.
@@ -163,10 +164,10 @@
     ) -> Result<RowPage, Error> {
         let mut all = RowPage { rows: Vec::new(), has_more: true, version: u64::MAX };
         while all.has_more {
-            self.count.fetch_add(1, Ordering::Relaxed);
+            self.call_count.fetch_add(1, Ordering::Relaxed);
             let last = all.rows.last().map(|row| row.key.key.as_str());
             let call = (self.wire.read_call)(table, partition, last);
-            let answer = client.exchange(call, CALL_MS).await.context(ExchangeSnafu)?;
+            let answer = client.exchange(call, CALL_TIMEOUT_MS).await.context(ExchangeSnafu)?;
             let page = (self.wire.read_answer)(answer.status, &answer.body);
             let page = page.context(UnreadableSnafu)?;
             all.has_more = page.has_more && !page.rows.is_empty();
@@ -188,20 +189,20 @@
     /// Reads the whole table, whose rows are all in one partition.
     pub(crate) async fn read(&self) -> Result<RowPage, Error> {
         let read = self.store.read_over(&self.client, self.table, SHARED_PARTITION).await;
-        self.store.note(read.is_ok());
+        self.store.record_result(read.is_ok());
         read
     }
 
     /// Waits up to `wait_ms` for changes after the transaction `after`.
     pub(crate) async fn follow(&self, after: u64, wait_ms: u64) -> Result<Feed, Error> {
-        let followed = self.wait(after, wait_ms).await;
-        self.store.note(followed.is_ok());
+        let followed = self.wait_for_changes(after, wait_ms).await;
+        self.store.record_result(followed.is_ok());
         followed
     }
 
     /// Waits for changes without recording whether the store answered.
-    async fn wait(&self, after: u64, wait_ms: u64) -> Result<Feed, Error> {
-        self.store.count.fetch_add(1, Ordering::Relaxed);
+    async fn wait_for_changes(&self, after: u64, wait_ms: u64) -> Result<Feed, Error> {
+        self.store.call_count.fetch_add(1, Ordering::Relaxed);
         let call = (self.store.wire.follow_call)(self.table, after, wait_ms);
         let answer = self.client.exchange(call, wait_ms + FOLLOW_GRACE_MS).await;
         let answer = answer.context(ExchangeSnafu)?;
@@ -211,5 +212,5 @@
 
 /// Returns the longest pause between two tries of a store that does not answer.
 fn longest_pause_ms(bounds: &Bounds) -> u64 {
-    bounds.shortest_ms() / RETRY_PART
+    bounds.shortest_ms() / RETRY_DIVISOR
 }
--- a/crates/trestle-entry/src/store/config.rs
+++ b/crates/trestle-entry/src/store/config.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     daemon::Daemon,
-    store::follow::{self, Followed},
+    store::follow::{self, FollowedTable},
 };
 use std::sync::Arc;
 use trestle_dispatch::{
@@ -14,20 +14,20 @@
 /// Follows the configuration until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let (table, _) = daemon.wire.store.config_row;
-    let followed = Followed {
+    let followed = FollowedTable {
         table,
-        gather_ms: || 0,
+        pause_ms: || 0,
         after: |last| last,
-        on_read: |page: RowPage, asked_ms| {
-            note_read(&daemon);
-            let taken = page.rows.iter().fold(true, |all, row| all & take(&daemon, row));
-            note_proven(&daemon, taken, asked_ms);
+        on_read: |page: RowPage, sent_ms| {
+            record_read(&daemon);
+            let all_read = page.rows.iter().fold(true, |all, row| all & apply_row(&daemon, row));
+            record_proof(&daemon, all_read, sent_ms);
         },
-        on_changes: |changes: Vec<RowChange>, _, asked_ms| {
-            note_read(&daemon);
-            let each = changes.iter().map(|change| take_change(&daemon, change));
-            let taken = each.fold(true, |all, one| all & one);
-            note_proven(&daemon, taken, asked_ms);
+        on_changes: |changes: Vec<RowChange>, _, sent_ms| {
+            record_read(&daemon);
+            let each = changes.iter().map(|change| apply_change(&daemon, change));
+            let all_read = each.fold(true, |all, one| all & one);
+            record_proof(&daemon, all_read, sent_ms);
         },
         on_failure: || {},
     };
@@ -35,38 +35,38 @@
 }
 
 /// Applies a change of the configuration's table. Returns whether its content could be read.
-fn take_change(daemon: &Daemon, change: &RowChange) -> bool {
+fn apply_change(daemon: &Daemon, change: &RowChange) -> bool {
     match change {
-        RowChange::Written(row) => take(daemon, row),
+        RowChange::Written(row) => apply_row(daemon, row),
         RowChange::Removed(..) => true,
     }
 }
 
-/// Records that the configuration in force was the newest when the read was sent at `asked_ms`,
+/// Records that the configuration in force was the newest when the read was sent at `sent_ms`,
 /// unless a row could not be read.
-fn note_proven(daemon: &Daemon, taken: bool, asked_ms: u64) {
-    if taken {
-        daemon.freshness.record_config_proof(asked_ms);
+fn record_proof(daemon: &Daemon, all_read: bool, sent_ms: u64) {
+    if all_read {
+        daemon.freshness.record_config_proof(sent_ms);
     }
 }
 
 /// Records that the store answered a read of the configuration.
-fn note_read(daemon: &Daemon) {
+fn record_read(daemon: &Daemon) {
     daemon.freshness.record_config_read(daemon.knowledge.now_ms());
 }
 
 /// Applies a row of the configuration's table. Returns whether its content could be read; rows with
 /// other keys are ignored.
-fn take(daemon: &Daemon, row: &Row) -> bool {
+fn apply_row(daemon: &Daemon, row: &Row) -> bool {
     let (_, key) = daemon.wire.store.config_row;
-    row.key.key != key || take_text(daemon, &row.value)
+    row.key.key != key || apply_text(daemon, &row.value)
 }
 
 /// Applies a configuration that another daemon passed on. Returns whether it could be read.
-pub(crate) fn apply_relayed(daemon: &Daemon, news: &ConfigUpdate) -> bool {
-    match news {
-        ConfigUpdate::Whole(packed) => match packed.decompress() {
-            Some(text) => take_text(daemon, &text),
+pub(crate) fn apply_relayed(daemon: &Daemon, update: &ConfigUpdate) -> bool {
+    match update {
+        ConfigUpdate::Whole(compressed) => match compressed.decompress() {
+            Some(text) => apply_text(daemon, &text),
             None => {
                 tracing::error!(
                     "config: A configuration from another daemon cannot be decompressed; the one in force stays."
@@ -75,10 +75,10 @@
             }
         },
         ConfigUpdate::Changes { from, pieces } => {
-            let old =
+            let known =
                 daemon.knowledge.with(|local_view| local_view.config_texts.text(*from).cloned());
-            match old.and_then(|old| apply_delta(&old, &decompress_pieces(pieces)?)) {
-                Some(text) => take_text(daemon, &text),
+            match known.and_then(|known| apply_delta(&known, &decompress_pieces(pieces)?)) {
+                Some(text) => apply_text(daemon, &text),
                 None => {
                     tracing::error!(
                         from,
@@ -93,7 +93,7 @@
 
 /// Puts a configuration in force if it is newer than the current one. Returns whether it could be
 /// read.
-fn take_text(daemon: &Daemon, text: &[u8]) -> bool {
+fn apply_text(daemon: &Daemon, text: &[u8]) -> bool {
     let catalog = match (daemon.wire.store.read_config)(text) {
         Ok(catalog) => catalog,
         Err(error) => {
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -4,7 +4,7 @@
     broken,
     daemon::Daemon,
     departures,
-    store::follow::{self, Followed},
+    store::follow::{self, FollowedTable},
 };
 use std::sync::Arc;
 use trestle_core::names::EndpointName;
@@ -15,27 +15,27 @@
     store::{Row, RowChange, RowPage},
 };
 
-/// A leader's pause after each answer, per 100 listed endpoints, so that one answer holds several
-/// changes: the more endpoints there are, the more often one changes. It is far below the time
-/// after which a draining endpoint must get no more work.
-const GATHER_MS: u64 = 120;
+/// A leader's pause after each answer, per 100 listed endpoints and at least, so that one answer
+/// holds several changes: the more endpoints there are, the more often one changes. It is far below
+/// the time after which a draining endpoint must get no more work.
+const LEADER_PAUSE_MS: u64 = 120;
 /// Longest pause of a leader after an answer.
-const MOST_GATHER_MS: u64 = 400;
+const MAX_LEADER_PAUSE_MS: u64 = 400;
 /// Pause after each answer of a daemon that follows the list only until it receives updates from a
 /// leader again. All daemons do so at the same time then, and they share the calls that the store
 /// can serve.
-const ALONE_GATHER_MS: u64 = 450;
+const OUTAGE_PAUSE_MS: u64 = 450;
 /// Most added and most removed endpoints that the log line about a whole list names.
-const MOST_NAMED: usize = 8;
+const MAX_LOGGED_NAMES: usize = 8;
 
 /// Follows the list until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     departures::wait_for_rows(&daemon).await;
-    let followed = Followed {
+    let followed = FollowedTable {
         table: daemon.wire.store.endpoint_table,
-        gather_ms: || match daemon.freshness.is_leader() {
-            true => leader_gather_ms(&daemon),
-            false => ALONE_GATHER_MS,
+        pause_ms: || match daemon.freshness.is_leader() {
+            true => leader_pause_ms(&daemon),
+            false => OUTAGE_PAUSE_MS,
         },
         after: |last: Option<u64>| {
             let version = daemon.knowledge.with(|local_view| local_view.listing.version());
@@ -43,13 +43,13 @@
         },
         on_read: |page: RowPage, _| {
             let version = page.version;
-            match read(&daemon, to_news(&daemon, page.rows.into_iter(), version)) {
+            match apply_read(&daemon, parse_list(&daemon, page.rows.into_iter(), version)) {
                 true => daemon.freshness.record_full_list_read(),
                 false => tracing::info!(version, "endpoint: An older list was read."),
             }
         },
         on_changes: |changes, version, _| {
-            read(&daemon, changed(&daemon, changes, version));
+            apply_read(&daemon, parse_changes(&daemon, changes, version));
         },
         on_failure: || {
             let now_ms = daemon.knowledge.now_ms();
@@ -60,42 +60,52 @@
 }
 
 /// Returns a leader's pause after each answer, by the number of listed endpoints.
-fn leader_gather_ms(daemon: &Daemon) -> u64 {
+fn leader_pause_ms(daemon: &Daemon) -> u64 {
     let endpoints = daemon.knowledge.with(|local_view| local_view.directory.iter().count()) as u64;
-    (GATHER_MS * endpoints / 100).clamp(GATHER_MS, MOST_GATHER_MS)
+    (LEADER_PAUSE_MS * endpoints / 100).clamp(LEADER_PAUSE_MS, MAX_LEADER_PAUSE_MS)
 }
 
 /// Applies what this daemon has read about endpoints from the store. Returns whether it is a whole
 /// list that is not older than the one known here.
-fn read(daemon: &Daemon, news: ListUpdate) -> bool {
+fn apply_read(daemon: &Daemon, update: ListUpdate) -> bool {
     let now_ms = daemon.knowledge.now_ms();
     daemon.freshness.record_endpoints_read(now_ms);
-    take(daemon, news, Source::Store, ListOrigin { source: ListSource::Store, known_ms: now_ms })
+    apply_update(
+        daemon,
+        update,
+        Source::Store,
+        ListOrigin { source: ListSource::Store, known_ms: now_ms },
+    )
 }
 
 /// Applies an update of the list that a leader passed on, which leaves out the models that engines
 /// hold. The update was current `age_ms` ago.
-pub(crate) fn apply_relayed(daemon: &Daemon, news: ListUpdate, age_ms: u64) {
+pub(crate) fn apply_relayed(daemon: &Daemon, update: ListUpdate, age_ms: u64) {
     let known_ms = daemon.knowledge.now_ms().saturating_sub(age_ms);
-    take(daemon, news, Source::Leader, ListOrigin { source: ListSource::Leader, known_ms });
+    apply_update(
+        daemon,
+        update,
+        Source::Leader,
+        ListOrigin { source: ListSource::Leader, known_ms },
+    );
 }
 
 /// Applies an update of the list, records its source, and detects endpoints that crashed or were
 /// replaced. Returns whether it is a whole list.
-fn take(daemon: &Daemon, news: ListUpdate, source: Source, heard: ListOrigin) -> bool {
+fn apply_update(daemon: &Daemon, update: ListUpdate, source: Source, origin: ListOrigin) -> bool {
     let now_ms = daemon.knowledge.now_ms();
-    let mut came = Vec::new();
-    let (is_whole, is_news) = daemon.knowledge.with(|local_view| {
+    let mut added = Vec::new();
+    let (is_whole, has_changes) = daemon.knowledge.with(|local_view| {
         local_view.directory.record_read(true, now_ms);
-        local_view.list_origin = heard;
-        let fresh = local_view.listing.apply(news, source);
-        let is_whole = fresh.is_whole;
-        let is_news = is_whole || !fresh.written.is_empty() || !fresh.removed.is_empty();
-        came = apply(local_view, fresh, source, now_ms);
-        (is_whole, is_news)
+        local_view.list_origin = origin;
+        let newer = local_view.listing.apply(update, source);
+        let is_whole = newer.is_whole;
+        let has_changes = is_whole || !newer.written.is_empty() || !newer.removed.is_empty();
+        added = apply_newer(local_view, newer, source, now_ms);
+        (is_whole, has_changes)
     });
-    if is_news {
-        came.iter().for_each(|endpoint| broken::note_came(daemon, endpoint));
+    if has_changes {
+        added.iter().for_each(|endpoint| broken::note_came(daemon, endpoint));
         broken::note_gone(daemon);
         daemon.knowledge.change(|local_view| local_view.forget_unlisted());
     }
@@ -104,16 +114,16 @@
 
 /// Applies the entries of an update that are newer than those known here. Returns the endpoints
 /// that are new.
-fn apply(
+fn apply_newer(
     local_view: &mut LocalView,
-    fresh: ListUpdate,
+    newer: ListUpdate,
     source: Source,
     now_ms: u64,
 ) -> Vec<Endpoint> {
-    let ListUpdate { is_whole, written, removed, version } = fresh;
-    let mut came = Vec::new();
+    let ListUpdate { is_whole, written, removed, version } = newer;
+    let mut added = Vec::new();
     if is_whole {
-        note_whole(local_view, &written, &removed, version);
+        log_whole_list(local_view, &written, &removed, version);
         local_view.is_list_read = true;
     }
     for entry in written {
@@ -128,25 +138,25 @@
             .filter(|endpoint| !local_view.directory.contains(&endpoint.incarnation()));
         let new = new.cloned();
         if local_view.apply_entry(entry, source) {
-            came.extend(new);
+            added.extend(new);
         } else {
             let message =
                 "endpoint: Ignored an entry that is older than the removal of its endpoint.";
             tracing::info!(endpoint = %name, number, version, "{message}");
         }
     }
-    for (name, at) in removed {
+    for (name, removal_version) in removed {
         let name = EndpointName::from(name);
         if !is_whole {
-            tracing::info!(endpoint = %name, version = at, "endpoint: Gone from the list.");
+            tracing::info!(endpoint = %name, version = removal_version, "endpoint: Gone from the list.");
         }
         local_view.directory.apply_removal(&name, now_ms);
     }
-    came
+    added
 }
 
 /// Logs that a whole list was read, with some of the endpoints that it adds and removes.
-fn note_whole(
+fn log_whole_list(
     local_view: &LocalView,
     written: &[ListedEntry],
     removed: &[(String, u64)],
@@ -154,48 +164,51 @@
 ) {
     let count = written.len();
     let is_new = |entry: &&ListedEntry| local_view.directory.get(&entry.endpoint.name).is_none();
-    let new = written.iter().filter(is_new).take(MOST_NAMED);
+    let new = written.iter().filter(is_new).take(MAX_LOGGED_NAMES);
     let came: Vec<&str> = new.map(|entry| entry.key.as_str()).collect();
-    let gone: Vec<&str> = removed.iter().take(MOST_NAMED).map(|(key, _)| key.as_str()).collect();
+    let gone: Vec<&str> =
+        removed.iter().take(MAX_LOGGED_NAMES).map(|(key, _)| key.as_str()).collect();
     tracing::info!(count, version, ?came, ?gone, "endpoint: The list was read.");
 }
 
 /// Converts the rows of a whole list. Rows that cannot be read are left out.
-fn to_news(daemon: &Daemon, rows: impl Iterator<Item = Row>, version: u64) -> ListUpdate {
+fn parse_list(daemon: &Daemon, rows: impl Iterator<Item = Row>, version: u64) -> ListUpdate {
     let written = rows.filter_map(|row| {
-        let endpoint = understood(daemon, &row)?;
+        let endpoint = parse_entry(daemon, &row)?;
         Some(ListedEntry { key: row.key.key, endpoint, version: row.version })
     });
     ListUpdate { is_whole: true, written: written.collect(), removed: Vec::new(), version }
 }
 
 /// Converts changes of the list that lead up to a version.
-fn changed(daemon: &Daemon, changes: Vec<RowChange>, version: u64) -> ListUpdate {
-    let mut news =
+fn parse_changes(daemon: &Daemon, changes: Vec<RowChange>, version: u64) -> ListUpdate {
+    let mut update =
         ListUpdate { is_whole: false, written: Vec::new(), removed: Vec::new(), version };
     for change in changes {
         match change {
             RowChange::Written(row) => {
-                match understood(daemon, &row) {
+                match parse_entry(daemon, &row) {
                     Some(endpoint) => {
                         let (key, version) = (row.key.key, row.version);
-                        news.written.push(ListedEntry { key, endpoint, version });
+                        update.written.push(ListedEntry { key, endpoint, version });
                     }
                     // The entry replaces the previous one and cannot be used, so the endpoint
                     // counts as removed.
-                    None => news.removed.push((row.key.key, row.version)),
+                    None => update.removed.push((row.key.key, row.version)),
                 }
             }
             // A removal without a version of its own gets the version of the answer.
-            RowChange::Removed(key, 0) => news.removed.push((key.key, version)),
-            RowChange::Removed(key, at) => news.removed.push((key.key, at)),
+            RowChange::Removed(key, 0) => update.removed.push((key.key, version)),
+            RowChange::Removed(key, removal_version) => {
+                update.removed.push((key.key, removal_version))
+            }
         }
     }
-    news
+    update
 }
 
 /// Parses an entry of the list. Returns `None` after logging the error if that fails.
-fn understood(daemon: &Daemon, row: &Row) -> Option<Endpoint> {
+fn parse_entry(daemon: &Daemon, row: &Row) -> Option<Endpoint> {
     match (daemon.wire.store.read_endpoint)(&row.key.key, &row.value) {
         Ok(endpoint) => Some(endpoint),
         Err(error) => {
@@ -209,19 +222,19 @@
 
 /// Logs what a new entry changes: that its endpoint is listed, drains, has started again, or holds
 /// other models.
-fn log_change(known: Option<&Endpoint>, now: &Endpoint, version: u64) {
-    let was_leaving = known.map(|known| known.is_draining);
-    let (endpoint, born_ms) = (&now.name, now.started_unix_ms);
-    if was_leaving != Some(now.is_draining) {
-        let (address, leaving) = (now.address, now.is_draining);
+fn log_change(known: Option<&Endpoint>, new: &Endpoint, version: u64) {
+    let was_draining = known.map(|known| known.is_draining);
+    let (endpoint, born_ms) = (&new.name, new.started_unix_ms);
+    if was_draining != Some(new.is_draining) {
+        let (address, leaving) = (new.address, new.is_draining);
         tracing::info!(%endpoint, born_ms, %address, leaving, version, "endpoint: Listed.");
     }
     if let Some(before) = known.filter(|known| known.started_unix_ms != born_ms) {
         let before_ms = before.started_unix_ms;
         tracing::info!(%endpoint, born_ms, before_ms, version, "endpoint: It has started again.");
     }
-    if known.is_some_and(|known| known.held.keys().ne(now.held.keys())) {
-        let held: Vec<&str> = now.held.keys().map(AsRef::as_ref).collect();
+    if known.is_some_and(|known| known.held.keys().ne(new.held.keys())) {
+        let held: Vec<&str> = new.held.keys().map(AsRef::as_ref).collect();
         tracing::debug!(%endpoint, ?held, version, "endpoint: It holds other models now.");
     }
 }
--- a/crates/trestle-entry/src/store/follow.rs
+++ b/crates/trestle-entry/src/store/follow.rs
@@ -10,11 +10,11 @@
 use trestle_dispatch::store::{Feed, RowChange, RowPage};
 
 /// A table to follow, and the functions that handle what is read of it.
-pub(crate) struct Followed<G, A, R, C, F> {
+pub(crate) struct FollowedTable<G, A, R, C, F> {
     /// Name of the table.
     pub(crate) table: &'static str,
     /// Returns the pause after each answer, which lets one answer collect several changes.
-    pub(crate) gather_ms: G,
+    pub(crate) pause_ms: G,
     /// Returns the transaction after which to read changes, given the last one read here; `None` to
     /// read the whole table.
     pub(crate) after: A,
@@ -28,7 +28,7 @@
 }
 
 /// Follows a table until the process ends. It pauses while a leader passes the table's changes on.
-pub(crate) async fn run<G, A, R, C, F>(daemon: &Daemon, followed: Followed<G, A, R, C, F>)
+pub(crate) async fn run<G, A, R, C, F>(daemon: &Daemon, followed: FollowedTable<G, A, R, C, F>)
 where
     G: Fn() -> u64,
     A: Fn(Option<u64>) -> Option<u64>,
@@ -38,49 +38,49 @@
 {
     let follower = daemon.store.follower(followed.table);
     let mut last = None;
-    let mut is_lost = false;
+    let mut is_failing = false;
     let mut is_relayed = false;
     loop {
         let leadership_began = daemon.freshness.leadership_began();
-        let relayed_ms = daemon.freshness.relay_valid_for_ms(daemon.knowledge.now_ms());
-        if is_relayed != (relayed_ms > 0) {
-            is_relayed = relayed_ms > 0;
+        let relay_valid_ms = daemon.freshness.relay_valid_for_ms(daemon.knowledge.now_ms());
+        if is_relayed != (relay_valid_ms > 0) {
+            is_relayed = relay_valid_ms > 0;
             let table = followed.table;
             tracing::info!(table, relayed = is_relayed, "store: Who follows a table has changed.");
             // A connection that was not used for a while may be dead without notice. The first read
             // on it took 1.5 s to fail, and a server that had been removed got requests for 2.8 s.
             follower.reconnect().await;
         }
-        if relayed_ms > 0 {
-            leadership_began.or(pause(relayed_ms)).await;
+        if relay_valid_ms > 0 {
+            leadership_began.or(pause(relay_valid_ms)).await;
             continue;
         }
         // During an outage the daemon's other callers wait for the result of this try, so the store
         // must answer at once.
-        let wait_ms = if is_lost { 0 } else { daemon.freshness.wait_ms() };
+        let wait_ms = if is_failing { 0 } else { daemon.freshness.wait_ms() };
         let after = (followed.after)(last);
-        let step = async { Some(step(daemon, &followed, &follower, after, wait_ms).await) };
+        let step = async { Some(read_or_wait(daemon, &followed, &follower, after, wait_ms).await) };
         let interrupted = async {
             leadership_began.await;
             None
         };
         // A daemon that becomes leader must read more than the changes it waits for.
         let Some(outcome) = step.or(interrupted).await else { continue };
-        if is_lost != outcome.is_err() {
-            is_lost = outcome.is_err();
-            note(followed.table, &outcome);
+        if is_failing != outcome.is_err() {
+            is_failing = outcome.is_err();
+            log_transition(followed.table, &outcome);
         }
         match outcome {
             Ok(next) => {
                 last = next;
-                let gather_ms = (followed.gather_ms)();
-                if gather_ms > 0 {
-                    daemon.freshness.leadership_began().or(pause(gather_ms)).await;
+                let pause_ms = (followed.pause_ms)();
+                if pause_ms > 0 {
+                    daemon.freshness.leadership_began().or(pause(pause_ms)).await;
                 }
             }
             Err(_) => {
                 (followed.on_failure)();
-                daemon.store.next_try().await;
+                daemon.store.reserve_try().await;
             }
         }
     }
@@ -92,9 +92,9 @@
 
 /// Reads the table once or waits for changes once. Returns the transaction to continue from; `None`
 /// if the whole table must be read again.
-async fn step<G, A, R, C, F>(
+async fn read_or_wait<G, A, R, C, F>(
     daemon: &Daemon,
-    followed: &Followed<G, A, R, C, F>,
+    followed: &FollowedTable<G, A, R, C, F>,
     follower: &Follower<'_>,
     after: Option<u64>,
     wait_ms: u64,
@@ -103,11 +103,11 @@
     R: Fn(RowPage, u64),
     C: Fn(Vec<RowChange>, u64, u64),
 {
-    let asked_ms = daemon.knowledge.now_ms();
+    let sent_ms = daemon.knowledge.now_ms();
     let Some(after) = after else {
         let page = follower.read().await?;
         let version = page.version;
-        (followed.on_read)(page, asked_ms);
+        (followed.on_read)(page, sent_ms);
         return Ok(Some(version));
     };
     match follower.follow(after, wait_ms).await? {
@@ -121,14 +121,14 @@
             Ok(None)
         }
         Feed::Changes(changes, version) => {
-            (followed.on_changes)(changes, version, asked_ms);
+            (followed.on_changes)(changes, version, sent_ms);
             Ok(Some(version))
         }
     }
 }
 
 /// Logs that following a table began to fail or works again.
-fn note(table: &str, outcome: &Result<Option<u64>, Error>) {
+fn log_transition(table: &str, outcome: &Result<Option<u64>, Error>) {
     match outcome {
         Ok(_) => tracing::info!(table, "store: A table is followed again."),
         Err(error) => tracing::warn!(table, %error, "store: A table cannot be followed."),
--- a/crates/trestle-entry/src/store/freshness.rs
+++ b/crates/trestle-entry/src/store/freshness.rs
@@ -9,20 +9,20 @@
 use trestle_config::entry_settings::Bounds;
 
 /// Longest time for which the store holds a read that waits for changes.
-const WAIT_MS: u64 = 2_000;
+const MAX_WAIT_MS: u64 = 2_000;
 /// Divisor of the shortest freshness bound: the store holds a read for this part of the bound at
 /// most. Within the bound, a connection that has gone silent must be noticed and the store must be
 /// read over another one. If the silent connection is the leader's, the other daemons must have
 /// read the store themselves within it.
-const WAIT_PART: u64 = 3;
+const WAIT_DIVISOR: u64 = 3;
 /// Time beyond the wait for changes after which the store's last answer to the leader is too old.
 const AGE_GRACE_MS: u64 = 450;
 /// Part of a freshness bound that is reserved for reading the store from this daemon.
-const READ_MS: u64 = 500;
+const READ_RESERVE_MS: u64 = 500;
 /// Part of the bound on key withdrawal that is reserved for clocks that run at different speeds.
 const KEY_MARGIN_MS: u64 = 50;
 /// Number of successive relays that may be missing before this daemon follows the store itself.
-const MISSING_RELAYS: u64 = 3;
+const MAX_MISSING_RELAYS: u64 = 3;
 
 /// The times at which knowledge of the store was current, in milliseconds on the daemon's clock.
 #[derive(Debug)]
@@ -115,7 +115,7 @@
 
     /// Returns for how long the store should hold a read that waits for changes.
     pub(crate) fn wait_ms(&self) -> u64 {
-        (self.shortest_bound_ms() / WAIT_PART).min(WAIT_MS)
+        (self.shortest_bound_ms() / WAIT_DIVISOR).min(MAX_WAIT_MS)
     }
 
     /// Records an answer of the store about the list of endpoints.
@@ -152,7 +152,7 @@
     pub(crate) fn may_lack_config(&self, now_ms: u64) -> bool {
         let known_ms = self.config_known_ms.load(Ordering::SeqCst);
         let bound_ms = self.config_bound_ms.load(Ordering::SeqCst);
-        now_ms > known_ms + bound_ms.saturating_sub(READ_MS)
+        now_ms > known_ms + bound_ms.saturating_sub(READ_RESERVE_MS)
     }
 
     /// Returns the time since the store last answered about both the list of endpoints and the
@@ -168,8 +168,8 @@
         self.config_known_ms.fetch_max(now_ms.saturating_sub(age_ms), Ordering::SeqCst);
         let is_fresh = age_ms <= self.wait_ms() + AGE_GRACE_MS;
         if is_fresh && !self.is_leader() {
-            let missing_ms = next_ms * MISSING_RELAYS;
-            let known_ms = self.shortest_bound_ms().saturating_sub(age_ms + READ_MS);
+            let missing_ms = next_ms * MAX_MISSING_RELAYS;
+            let known_ms = self.shortest_bound_ms().saturating_sub(age_ms + READ_RESERVE_MS);
             let until_ms = now_ms + missing_ms.min(known_ms);
             self.relayed_until_ms.store(until_ms, Ordering::SeqCst);
             // Relays leave out what engines hold.
--- a/crates/trestle-entry/src/traffic/answer.rs
+++ b/crates/trestle-entry/src/traffic/answer.rs
@@ -8,13 +8,13 @@
 
 /// Why the body of an answer is aborted. The connection is closed then, so that the caller sees
 /// that the answer is incomplete.
-pub(crate) type Broken = Box<dyn std::error::Error + Send + Sync>;
+pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// The body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, Broken>;
+pub(crate) type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Shortest retry-after time that a rejected caller is given.
-const LEAST_RETRY_AFTER_MS: u64 = 50;
+const MIN_RETRY_AFTER_MS: u64 = 50;
 
 /// Authentication scheme by which callers send their keys.
 const KEY_SCHEME: &str = "Bearer";
@@ -85,7 +85,7 @@
             response.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
         }
         if let Self::NotRun { retry_after_ms, .. } | Self::OverLimit { retry_after_ms } = self {
-            let seconds = retry_after_ms.max(LEAST_RETRY_AFTER_MS) as f64 / 1e3;
+            let seconds = retry_after_ms.max(MIN_RETRY_AFTER_MS) as f64 / 1e3;
             if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
                 response.headers_mut().insert(header::RETRY_AFTER, value);
             }
@@ -99,9 +99,9 @@
 
 /// Returns a body with this content.
 pub(crate) fn full_body(content: Bytes) -> Body {
-    Full::new(content).map_err(never).boxed_unsync()
+    Full::new(content).map_err(from_infallible).boxed_unsync()
 }
 
-fn never(error: Infallible) -> Broken {
+fn from_infallible(error: Infallible) -> BodyError {
     match error {}
 }
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -5,10 +5,10 @@
     net::pool::{Connection, SendError},
     notices,
     traffic::{
-        outcome::{Unanswered, WholeAnswer},
-        patience::Patience,
-        select::Taken,
+        outcome::{AttemptError, CompleteAnswer},
+        select::SelectedEndpoint,
         task::Task,
+        wait_limit::WaitLimit,
     },
 };
 use futures_lite::FutureExt;
@@ -27,7 +27,7 @@
 /// A send that was answered: the head of the answer, whose body is not read yet.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    pub(crate) taken: Taken,
+    pub(crate) selected: SelectedEndpoint,
     pub(crate) connection: Connection,
     pub(crate) response: Response<Incoming>,
     pub(crate) head: AnswerHead,
@@ -41,35 +41,36 @@
 /// says whether the request may have run.
 pub(crate) async fn send(
     task: &Arc<Task>,
-    mut taken: Taken,
+    mut selected: SelectedEndpoint,
     last_event_id: Option<u64>,
-    patience: Patience<'_>,
-) -> Result<Attempt, Unanswered> {
-    let sent_ms = task.elapsed_ms();
-    task.note_sent();
-    task.trial.sent(&taken.endpoint);
-    let waited = patience.wait(exchange(task, &mut taken, last_event_id)).await;
-    let sent = waited.unwrap_or_else(|| Err(Unanswered::TimedOut(task.elapsed_ms() - sent_ms)));
+    wait_limit: WaitLimit<'_>,
+) -> Result<Attempt, AttemptError> {
+    let sent_after_ms = task.elapsed_ms();
+    task.record_sent();
+    task.trial.sent(&selected.endpoint);
+    let result = wait_limit.wait(exchange(task, &mut selected, last_event_id)).await;
+    let answered =
+        result.unwrap_or_else(|| Err(AttemptError::TimedOut(task.elapsed_ms() - sent_after_ms)));
     let now_ms = task.daemon.knowledge.now_ms();
     let may_have_run =
-        sent.as_ref().map_or_else(|unanswered| unanswered.end().may_have_run(), |_| true);
-    task.payment.ended(may_have_run);
-    if !matches!(sent, Err(Unanswered::Unreachable(_) | Unanswered::NotSent)) {
-        task.place.use_up();
+        answered.as_ref().map_or_else(|error| error.send_end().may_have_run(), |_| true);
+    task.quota_reservation.record_end(may_have_run);
+    if !matches!(answered, Err(AttemptError::Unreachable(_) | AttemptError::NotSent)) {
+        task.held_permit.clear();
     }
-    match sent {
-        Ok((connection, response, head)) => Ok(Attempt { taken, connection, response, head }),
-        Err(unanswered) => {
+    match answered {
+        Ok((connection, response, head)) => Ok(Attempt { selected, connection, response, head }),
+        Err(error) => {
             match may_have_run {
                 true => task.trial.unanswered(),
                 false => {
                     task.trial.settled();
-                    taken.settle();
+                    selected.resolve();
                 }
             }
-            let name = &taken.endpoint.name;
-            task.daemon.knowledge.with(|local_view| match &unanswered {
-                Unanswered::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
+            let name = &selected.endpoint.name;
+            task.daemon.knowledge.with(|local_view| match &error {
+                AttemptError::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
                     Some(model) => {
                         let loadable = Loadable::new(model, task.head.adapter.as_ref());
                         local_view.records.denied(name, loadable, now_ms);
@@ -77,22 +78,24 @@
                     // Another endpoint listens at the address now.
                     None => local_view.records.unreachable(name, now_ms),
                 },
-                Unanswered::NotRun(_) | Unanswered::NotSent => {}
-                Unanswered::Unreachable(_) => local_view.records.unreachable(name, now_ms),
-                Unanswered::Broke(_) | Unanswered::MayHaveRun(_) | Unanswered::TimedOut(_) => {
+                AttemptError::NotRun(_) | AttemptError::NotSent => {}
+                AttemptError::Unreachable(_) => local_view.records.unreachable(name, now_ms),
+                AttemptError::ConnectionLost(_)
+                | AttemptError::InvalidAnswer(_)
+                | AttemptError::TimedOut(_) => {
                     local_view.records.failed(name, now_ms);
                 }
             });
-            if matches!(unanswered, Unanswered::Broke(_)) {
-                taken.broke();
+            if matches!(error, AttemptError::ConnectionLost(_)) {
+                selected.record_connection_lost();
             }
-            let (list, name) = (task.list(), &taken.endpoint.name);
+            let (list, name) = (task.list_info(), &selected.endpoint.name);
             tracing::info!(
                 id = task.head.id, request = task.fingerprint(), endpoint = %name,
-                list_version = list.version, list_age_ms = list.age_ms, list_from = list.way,
-                reason = unanswered.reason(), elapsed_ms = task.elapsed_ms(), "request: A send failed."
+                list_version = list.version, list_age_ms = list.age_ms, list_from = list.source,
+                reason = error.reason(), elapsed_ms = task.elapsed_ms(), "request: A send failed."
             );
-            Err(unanswered)
+            Err(error)
         }
     }
 }
@@ -100,45 +103,45 @@
 /// Opens or reuses a connection, sends the request over it, and checks the head of the answer.
 async fn exchange(
     task: &Arc<Task>,
-    taken: &mut Taken,
+    selected: &mut SelectedEndpoint,
     last_event_id: Option<u64>,
-) -> Result<(Connection, Response<Incoming>, AnswerHead), Unanswered> {
+) -> Result<(Connection, Response<Incoming>, AnswerHead), AttemptError> {
     let (daemon, pool) = (&task.daemon, &task.daemon.pool);
     loop {
-        let connection = pool.connection(&taken.endpoint).await;
+        let connection = pool.connection(&selected.endpoint).await;
         let mut connection = connection.map_err(|error| {
             if error.kind() == ErrorKind::ConnectionRefused {
-                broken::ended(daemon, &taken.endpoint.incarnation(), Evidence::Refused);
+                broken::ended(daemon, &selected.endpoint.incarnation(), Evidence::Refused);
             }
-            Unanswered::Unreachable(error.to_string())
+            AttemptError::Unreachable(error.to_string())
         })?;
-        if !task.may_leave(&taken.endpoint) {
-            return Err(Unanswered::NotSent);
+        if !task.may_send(&selected.endpoint) {
+            return Err(AttemptError::NotSent);
         }
         let sent_ms = daemon.knowledge.now_ms();
-        taken.leaves();
-        match connection.send(task.request(&taken.endpoint, last_event_id)).await {
+        selected.record_sent();
+        match connection.send(task.to_http_request(&selected.endpoint, last_event_id)).await {
             Ok(response) => {
-                notices::hear(daemon, &taken.endpoint, &response, &task.head.id, sent_ms);
+                notices::hear(daemon, &selected.endpoint, &response, &task.head.id, sent_ms);
                 if response.status() == StatusCode::MISDIRECTED_REQUEST {
                     // The request did not run here, so it cannot crash this endpoint.
-                    taken.settle();
+                    selected.resolve();
                 }
                 let (status, opened_ms) = (response.status(), connection.opened_ms());
-                note_answered(task, &taken.endpoint, status, sent_ms, opened_ms);
-                return check(task, connection, response).await;
+                record_answer_status(task, &selected.endpoint, status, sent_ms, opened_ms);
+                return validate(task, connection, response).await;
             }
             // The idle connection was closed before the request was sent; take another one.
-            Err(SendError::NotSent(_)) if !connection.is_fresh() => taken.settle(),
-            Err(SendError::NotSent(reason)) => return Err(Unanswered::Unreachable(reason)),
-            Err(SendError::Unknown(reason)) => return Err(Unanswered::Broke(reason)),
+            Err(SendError::NotSent(_)) if !connection.is_fresh() => selected.resolve(),
+            Err(SendError::NotSent(reason)) => return Err(AttemptError::Unreachable(reason)),
+            Err(SendError::Unknown(reason)) => return Err(AttemptError::ConnectionLost(reason)),
         }
     }
 }
 
 /// Records what the status of an answer shows about the endpoint: that it runs, or that another
 /// endpoint replaced it.
-fn note_answered(
+fn record_answer_status(
     task: &Task,
     endpoint: &Endpoint,
     status: StatusCode,
@@ -160,25 +163,27 @@
 
 /// Returns whether the framing of an answer shows when its body is complete. A body without a
 /// length ends when its connection closes, which also happens when the endpoint crashes.
-pub(crate) fn shows_its_end(headers: &HeaderMap) -> bool {
+pub(crate) fn has_explicit_end(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
 /// Checks that an answer belongs to the request and that the endpoint ran the request.
-async fn check(
+async fn validate(
     task: &Arc<Task>,
     connection: Connection,
     response: Response<Incoming>,
-) -> Result<(Connection, Response<Incoming>, AnswerHead), Unanswered> {
+) -> Result<(Connection, Response<Incoming>, AnswerHead), AttemptError> {
     let head = (task.daemon.wire.head.read_answer)(response.headers());
     if head.request_id.as_deref() != Some(task.head.id.as_str()) {
-        return Err(Unanswered::MayHaveRun("the answer belongs to another request".to_owned()));
+        return Err(AttemptError::InvalidAnswer(
+            "the answer belongs to another request".to_owned(),
+        ));
     }
     if head.is_not_run || response.status() == StatusCode::MISDIRECTED_REQUEST {
-        return Err(Unanswered::NotRun(response.status()));
+        return Err(AttemptError::NotRun(response.status()));
     }
     if response.status().is_success() && (!head.is_signed || head.is_encoded) {
-        return Err(Unanswered::MayHaveRun("the answer is not the endpoint's own".to_owned()));
+        return Err(AttemptError::InvalidAnswer("the answer is not the endpoint's own".to_owned()));
     }
     Ok((connection, response, head))
 }
@@ -189,54 +194,54 @@
     /// # Errors
     ///
     /// Fails if the body is not complete within `timeout_ms`.
-    pub(crate) async fn whole(
+    pub(crate) async fn read_complete(
         self,
         task: &Task,
         timeout_ms: u64,
-    ) -> Result<WholeAnswer, Unanswered> {
-        let Self { mut taken, connection, response, head } = self;
+    ) -> Result<CompleteAnswer, AttemptError> {
+        let Self { mut selected, connection, response, head } = self;
         let (mut parts, body) = response.into_parts();
-        let shows_its_end = shows_its_end(&parts.headers);
-        let collected = async {
-            let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-            whole
-                .map(|whole| whole.to_bytes())
-                .map_err(|error| Unanswered::Broke(error.to_string()))
+        let has_explicit_end = has_explicit_end(&parts.headers);
+        let read = async {
+            let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+            collected
+                .map(|content| content.to_bytes())
+                .map_err(|error| AttemptError::ConnectionLost(error.to_string()))
         };
         let timed_out = async {
             Timer::after(Duration::from_millis(timeout_ms)).await;
-            Err(Unanswered::TimedOut(timeout_ms))
+            Err(AttemptError::TimedOut(timeout_ms))
         };
         let knowledge = &task.daemon.knowledge;
-        let name = &taken.endpoint.name;
-        match collected.or(timed_out).await {
+        let name = &selected.endpoint.name;
+        match read.or(timed_out).await {
             Ok(content) => {
-                let is_sound = !parts.status.is_server_error();
+                let is_healthy = !parts.status.is_server_error();
                 let now_ms = knowledge.now_ms();
-                knowledge.with(|local_view| match is_sound {
+                knowledge.with(|local_view| match is_healthy {
                     true => local_view.records.succeeded(name, now_ms),
                     false => local_view.records.failed(name, now_ms),
                 });
-                if shows_its_end {
+                if has_explicit_end {
                     task.trial.settled();
-                    taken.settle();
+                    selected.resolve();
                 }
-                if shows_its_end && parts.status.is_success() {
-                    task.note_served(&taken.endpoint);
+                if has_explicit_end && parts.status.is_success() {
+                    task.record_served(&selected.endpoint);
                 }
-                task.daemon.pool.keep(&taken.endpoint, connection, head.idle_ms);
+                task.daemon.pool.keep(&selected.endpoint, connection, head.idle_ms);
                 (task.daemon.wire.head.forward_answer)(&mut parts.headers);
                 parts.headers.remove(http::header::CONTENT_LENGTH);
-                Ok(WholeAnswer { response: Response::from_parts(parts, content) })
+                Ok(CompleteAnswer { response: Response::from_parts(parts, content) })
             }
-            Err(unanswered) => {
+            Err(error) => {
                 task.trial.unanswered();
                 let now_ms = knowledge.now_ms();
                 knowledge.with(|local_view| local_view.records.failed(name, now_ms));
-                if matches!(unanswered, Unanswered::Broke(_)) {
-                    taken.broke();
+                if matches!(error, AttemptError::ConnectionLost(_)) {
+                    selected.record_connection_lost();
                 }
-                Err(unanswered)
+                Err(error)
             }
         }
     }
--- a/crates/trestle-entry/src/traffic/events.rs
+++ b/crates/trestle-entry/src/traffic/events.rs
@@ -14,7 +14,7 @@
 
 impl EventBuffer {
     /// Creates an empty buffer for a stream whose events up to `last_id` the caller already has.
-    pub(crate) fn after(last_id: Option<u64>) -> Self {
+    pub(crate) fn resuming_after(last_id: Option<u64>) -> Self {
         Self { buffer: BytesMut::new(), last_id }
     }
 
@@ -24,13 +24,13 @@
     }
 
     /// Removes and returns all complete events; `None` if there is none.
-    pub(crate) fn take_whole(&mut self) -> Option<Bytes> {
+    pub(crate) fn take_complete(&mut self) -> Option<Bytes> {
         let end = end_of_last_event(&self.buffer)?;
-        let whole = self.buffer.split_to(end).freeze();
-        if let Some(id) = whole.split(|byte| *byte == b'\n').rev().find_map(id_of) {
+        let complete = self.buffer.split_to(end).freeze();
+        if let Some(id) = complete.split(|byte| *byte == b'\n').rev().find_map(event_id) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
     /// Returns the id of the last event that was passed on.
@@ -39,25 +39,26 @@
     }
 
     /// Returns whether the buffer holds the beginning of an event.
-    pub(crate) fn is_torn(&self) -> bool {
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Discards the beginning of an event whose end will not arrive.
-    pub(crate) fn drop_torn(&mut self) {
+    pub(crate) fn discard_partial_event(&mut self) {
         self.buffer.clear();
     }
 }
 
 /// Returns the end of the last complete event, which is after its empty line.
 fn end_of_last_event(buffer: &[u8]) -> Option<usize> {
-    let by_feed = buffer.windows(2).rposition(|window| window == b"\n\n").map(|at| at + 2);
-    let by_return = buffer.windows(4).rposition(|window| window == b"\r\n\r\n").map(|at| at + 4);
-    by_feed.max(by_return)
+    let after_line_feeds = buffer.windows(2).rposition(|window| window == b"\n\n").map(|at| at + 2);
+    let after_carriage_returns =
+        buffer.windows(4).rposition(|window| window == b"\r\n\r\n").map(|at| at + 4);
+    after_line_feeds.max(after_carriage_returns)
 }
 
 /// Returns the id in a line, if the line is an id field.
-fn id_of(line: &[u8]) -> Option<u64> {
+fn event_id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(ID_FIELD)?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -4,10 +4,10 @@
     daemon::Daemon,
     traffic::{
         answer::{Body, Failure},
-        payment::Payment,
-        place::Place,
+        held_permit::HeldPermit,
         plain,
-        report::{self, Ended, StreamSeen},
+        quota_reservation::QuotaReservation,
+        report::{self, RequestEnd, StreamStats},
         stream,
         task::{NOT_SENT, Task},
     },
@@ -36,21 +36,21 @@
 };
 
 /// Retry-after time for callers while the daemon has no configuration yet.
-const UNKNOWN_RETRY_MS: u64 = 500;
+const NO_CONFIG_RETRY_MS: u64 = 500;
 
 /// Retry-after time for callers while the daemon cannot tell whether a key is valid. The store has
 /// been unreachable for seconds by then, so an immediate retry would be rejected again.
-const UNSURE_RETRY_MS: u64 = 2_000;
+const UNSURE_KEY_RETRY_MS: u64 = 2_000;
 
 /// Retry-after time for callers while this daemon is stopping. Another daemon serves the retry.
 const STOPPING_RETRY_MS: u64 = 100;
 
 /// Returns the answer to one request. Failures are answers, too.
 pub(crate) async fn handle(daemon: Arc<Daemon>, request: Request<Incoming>) -> Response<Body> {
-    let _counted = InFlight::new(&daemon);
+    let _in_flight = InFlightGuard::new(&daemon);
     let is_ambiguous = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut response = match accept(&daemon, request).await {
-        Ok(task) => see_through(task).await,
+    let mut response = match admit(&daemon, request).await {
+        Ok(task) => forward(task).await,
         Err((failure, id)) => {
             tracing::info!(id, end = failure.name(), "request: Rejected before it was forwarded.");
             failure.answer(&daemon.wire.head, id.as_deref())
@@ -68,8 +68,8 @@
 ///
 /// # Errors
 ///
-/// Fails with the answer for the caller and with the request's id, if its headers could be read.
-async fn accept(
+/// Fails with the failure to answer, and with the request's id if its headers could be read.
+async fn admit(
     daemon: &Arc<Daemon>,
     request: Request<Incoming>,
 ) -> Result<Arc<Task>, (Failure, Option<String>)> {
@@ -79,26 +79,26 @@
         return Err((Failure::BadRequest, None));
     };
     let id = head.id.clone();
-    let refuse = |failure| (failure, Some(id.clone()));
+    let reject = |failure| (failure, Some(id.clone()));
     let Some(catalog) = daemon.knowledge.catalog() else {
-        return Err(refuse(Failure::NotRun {
-            retry_after_ms: UNKNOWN_RETRY_MS,
+        return Err(reject(Failure::NotRun {
+            retry_after_ms: NO_CONFIG_RETRY_MS,
             why: "no_configuration",
         }));
     };
     let both_lengths = parts.headers.contains_key(header::CONTENT_LENGTH)
         && parts.headers.contains_key(header::TRANSFER_ENCODING);
     if both_lengths {
-        return Err(refuse(Failure::BadRequest));
+        return Err(reject(Failure::BadRequest));
     }
-    let body = read_body(body, &catalog).await.map_err(refuse)?;
-    let task =
-        to_task(daemon, &catalog, Received { parts, head, body, arrived_ms }).map_err(refuse)?;
+    let body = read_body(body, &catalog).await.map_err(reject)?;
+    let task = build_task(daemon, &catalog, ReceivedRequest { parts, head, body, arrived_ms })
+        .map_err(reject)?;
     Ok(Arc::new(task))
 }
 
 /// A request whose head and body were read completely.
-struct Received {
+struct ReceivedRequest {
     parts: Parts,
     head: RequestHead,
     body: Bytes,
@@ -106,13 +106,17 @@
 }
 
 /// Identifies the caller and finds the route and the service of a request.
-fn to_task(daemon: &Arc<Daemon>, catalog: &Catalog, received: Received) -> Result<Task, Failure> {
-    let Received { parts, mut head, body, arrived_ms } = received;
+fn build_task(
+    daemon: &Arc<Daemon>,
+    catalog: &Catalog,
+    received: ReceivedRequest,
+) -> Result<Task, Failure> {
+    let ReceivedRequest { parts, mut head, body, arrived_ms } = received;
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.ok_or(Failure::BadRequest)?;
     let host = host.rsplit_once(':').map_or(host, |(host, _)| host);
     let route = catalog.routes.find(host, parts.uri.path());
-    let mut route = route.ok_or_else(|| no_route(daemon, arrived_ms))?.clone();
+    let mut route = route.ok_or_else(|| unknown_route_failure(daemon, arrived_ms))?.clone();
     let identity = identify(daemon, catalog, &route, head.credential, arrived_ms)?;
     if let Some(priority) = identity.team().and_then(|team| team.priority) {
         route.priority = priority;
@@ -145,20 +149,20 @@
         arrived_ms,
         config_version: catalog.version,
         sent_after_ms: AtomicU64::new(NOT_SENT),
-        list: Mutex::default(),
+        list_info: Mutex::default(),
         trial: Trial::default(),
-        payment: Payment::default(),
-        place: Place::default(),
-        held_back: Mutex::default(),
+        quota_reservation: QuotaReservation::default(),
+        held_permit: HeldPermit::default(),
+        throttle: Mutex::default(),
     })
 }
 
 /// Returns the failure for a request whose route is not in the configuration. While neither the
 /// store nor a leader can be reached, a route added recently may not be known here, so the caller
 /// is asked to retry.
-fn no_route(daemon: &Daemon, now_ms: u64) -> Failure {
+fn unknown_route_failure(daemon: &Daemon, now_ms: u64) -> Failure {
     match daemon.freshness.may_lack_config(now_ms) {
-        true => Failure::NotRun { retry_after_ms: UNKNOWN_RETRY_MS, why: "configuration_unsure" },
+        true => Failure::NotRun { retry_after_ms: NO_CONFIG_RETRY_MS, why: "configuration_unsure" },
         false => Failure::NoRoute,
     }
 }
@@ -176,10 +180,10 @@
         proves_keys: freshness.proves_keys(arrived_ms),
         may_lack_newer: freshness.may_lack_config(arrived_ms),
     };
-    Identity::of(catalog, route, credential, certainty).map_err(|not_admitted| match not_admitted {
+    Identity::of(catalog, route, credential, certainty).map_err(|error| match error {
         NotAdmitted::UnknownKey => Failure::NoKey,
         NotAdmitted::Unsure => {
-            Failure::NotRun { retry_after_ms: UNSURE_RETRY_MS, why: "key_unsure" }
+            Failure::NotRun { retry_after_ms: UNSURE_KEY_RETRY_MS, why: "key_unsure" }
         }
     })
 }
@@ -203,8 +207,8 @@
 
 /// Forwards a request and reports how it ended. The end of a stream is reported later, when its
 /// body is dropped.
-async fn see_through(task: Arc<Task>) -> Response<Body> {
-    note_arrival(&task);
+async fn forward(task: Arc<Task>) -> Response<Body> {
+    record_arrival(&task);
     let outcome = match task.route.is_stream() {
         true => stream::run(&task).await,
         false => plain::run(&task).await,
@@ -213,20 +217,26 @@
     match outcome.response {
         Ok(response) => {
             if !outcome.is_stream {
-                report::ended(&task, Ended::Whole, endpoint, outcome.sends, StreamSeen::default());
+                report::record_end(
+                    &task,
+                    RequestEnd::Complete,
+                    endpoint,
+                    outcome.sends,
+                    StreamStats::default(),
+                );
             }
             response
         }
         Err(failure) => {
-            let end = Ended::Failed(failure);
-            report::ended(&task, end, endpoint, outcome.sends, StreamSeen::default());
+            let end = RequestEnd::Failed(failure);
+            report::record_end(&task, end, endpoint, outcome.sends, StreamStats::default());
             failure.answer(&task.daemon.wire.head, Some(&task.head.id))
         }
     }
 }
 
 /// Counts the request for its service and its model.
-fn note_arrival(task: &Task) {
+fn record_arrival(task: &Task) {
     task.daemon.knowledge.with(|local_view| {
         local_view.request_arrived(&task.service, task.arrived_ms);
         if let Some(model) = &task.head.model {
@@ -236,16 +246,16 @@
 }
 
 /// Counts one request as in flight until this guard is dropped.
-struct InFlight(Arc<Daemon>);
+struct InFlightGuard(Arc<Daemon>);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(daemon: &Arc<Daemon>) -> Self {
         daemon.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(daemon))
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/trestle-entry/src/traffic/outcome.rs
+++ b/crates/trestle-entry/src/traffic/outcome.rs
@@ -6,13 +6,13 @@
 
 /// An answer of an endpoint whose body was read completely.
 #[derive(Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     pub(crate) response: Response<Bytes>,
 }
 
 /// Why a send got no answer that can be passed on to the caller.
 #[derive(Debug)]
-pub(crate) enum Unanswered {
+pub(crate) enum AttemptError {
     /// No connection could be opened, so the endpoint did not receive the request.
     Unreachable(String),
     /// The request was not sent: the endpoint began to drain, or limited its requests, meanwhile.
@@ -20,21 +20,21 @@
     /// The endpoint answered with this status that it did not run the request.
     NotRun(StatusCode),
     /// The connection was lost, for this reason. The request may have run.
-    Broke(String),
+    ConnectionLost(String),
     /// The answer cannot be passed on, for this reason. The request may have run.
-    MayHaveRun(String),
+    InvalidAnswer(String),
     /// No answer arrived within this time, in milliseconds. The request may have run.
     TimedOut(u64),
 }
 
-impl Unanswered {
+impl AttemptError {
     /// Returns what the failure means for further sends of the request.
-    pub(crate) fn end(&self) -> SendEnd {
+    pub(crate) fn send_end(&self) -> SendEnd {
         match self {
             Self::Unreachable(_) => SendEnd::Unreachable,
             Self::NotSent => SendEnd::NotSent,
             Self::NotRun(_) => SendEnd::NotRun,
-            Self::Broke(_) | Self::MayHaveRun(_) => SendEnd::MayHaveRun,
+            Self::ConnectionLost(_) | Self::InvalidAnswer(_) => SendEnd::MayHaveRun,
             Self::TimedOut(_) => SendEnd::TimedOut,
         }
     }
@@ -45,7 +45,7 @@
             Self::Unreachable(reason) => format!("not reached: {reason}"),
             Self::NotSent => "it has left, or takes less".to_owned(),
             Self::NotRun(status) => format!("refused with {status}"),
-            Self::Broke(reason) | Self::MayHaveRun(reason) => reason.clone(),
+            Self::ConnectionLost(reason) | Self::InvalidAnswer(reason) => reason.clone(),
             Self::TimedOut(timeout_ms) => format!("no answer within {timeout_ms} ms"),
         }
     }
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -4,10 +4,10 @@
 use crate::traffic::{
     answer::{Body, Failure, RETRY_SOON_MS, full_body},
     attempt,
-    outcome::{Unanswered, WholeAnswer},
-    patience::Patience,
-    select::{self, Taken},
+    outcome::{AttemptError, CompleteAnswer},
+    select::{self, SelectedEndpoint},
     task::Task,
+    wait_limit::WaitLimit,
 };
 use http::Response;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 };
 
 /// The result of forwarding a request.
-pub(crate) struct Outcome {
+pub(crate) struct ForwardOutcome {
     pub(crate) response: Result<Response<Body>, Failure>,
     /// The endpoint of the last send; `None` if the request was not sent.
     pub(crate) endpoint: Option<String>,
@@ -27,34 +27,34 @@
 }
 
 /// Sends a request until an endpoint has answered it or no further send can be made.
-pub(crate) async fn run(task: &Arc<Task>) -> Outcome {
+pub(crate) async fn run(task: &Arc<Task>) -> ForwardOutcome {
     let mut sends = Sends::default();
     let mut failed_answer = None;
-    let is_repeatable = task.route.is_idempotent();
-    let ended = loop {
-        let taken = match select::select(task, &sends).await {
-            Ok(taken) => taken,
+    let is_idempotent = task.route.is_idempotent();
+    let result = loop {
+        let selected = match select::select(task, &sends).await {
+            Ok(selected) => selected,
             Err(failure) => break Err(failure),
         };
-        if !task.take_next(&mut sends) {
+        if !task.reserve_next_send(&mut sends) {
             break Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "retries_spent" });
         }
-        match send(task, taken, &mut sends).await {
-            Ok(answer) if answer.response.status().is_server_error() && is_repeatable => {
+        match send(task, selected, &mut sends).await {
+            Ok(answer) if answer.response.status().is_server_error() && is_idempotent => {
                 sends.record_end(SendEnd::Failed, task.daemon.knowledge.now_ms());
                 failed_answer = Some(answer);
             }
             Ok(answer) => break Ok(answer),
-            Err(unanswered) => sends.record_end(unanswered.end(), task.daemon.knowledge.now_ms()),
+            Err(error) => sends.record_end(error.send_end(), task.daemon.knowledge.now_ms()),
         }
-        if task.is_over() || (sends.may_have_run && !is_repeatable) {
+        if task.is_expired() || (sends.may_have_run && !is_idempotent) {
             break Err(Failure::MayHaveRun);
         }
     };
-    let response = match (ended, failed_answer) {
+    let response = match (result, failed_answer) {
         // The endpoint's own failure tells the caller more than one of the daemon's.
         (Err(_), Some(answer)) | (Ok(answer), _) => Ok(answer.response.map(full_body)),
-        (Err(_), None) if sends.may_have_run && task.is_over() => Err(Failure::OutOfTime),
+        (Err(_), None) if sends.may_have_run && task.is_expired() => Err(Failure::OutOfTime),
         (Err(_), None) if sends.may_have_run => Err(Failure::MayHaveRun),
         (Err(Failure::MayHaveRun), None) => {
             Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "out_of_time" })
@@ -62,19 +62,19 @@
         (Err(failure), None) => Err(failure),
     };
     let endpoint = sends.last.map(|name| name.to_string());
-    Outcome { response, endpoint, sends: sends.count, is_stream: false }
+    ForwardOutcome { response, endpoint, sends: sends.count, is_stream: false }
 }
 
 /// Sends the request once and reads the complete answer.
 async fn send(
     task: &Arc<Task>,
-    taken: Taken,
+    selected: SelectedEndpoint,
     sends: &mut Sends,
-) -> Result<WholeAnswer, Unanswered> {
+) -> Result<CompleteAnswer, AttemptError> {
     task.daemon.metrics.send(sends.count == 0);
-    sends.record_send(&taken.endpoint.name);
+    sends.record_send(&selected.endpoint.name);
     // While another send is possible, one that misses the route's objective is given up for it.
-    let patience = Patience { task, sends, slice_ms: wait_limit::answer_ms(&task.route) };
-    let attempt = attempt::send(task, taken, None, patience).await?;
-    attempt.whole(task, task.left_ms()).await
+    let wait_limit = WaitLimit { task, sends, limit_ms: wait_limit::answer_ms(&task.route) };
+    let attempt = attempt::send(task, selected, None, wait_limit).await?;
+    attempt.read_complete(task, task.remaining_ms()).await
 }
--- a/crates/trestle-entry/src/traffic/payment.rs
+++ b/crates/trestle-entry/src/traffic/quota_reservation.rs
@@ -14,48 +14,51 @@
 
 /// Divisor of a route's objective: for this part of it a request waits until its team's limit
 /// allows it. A team that stays within its limit on average lacks units for moments only.
-const WAIT_PART: u64 = 8;
+const WAIT_DIVISOR: u64 = 8;
 /// Time after the end of a reservation within which the request may still be sent: opening a
 /// connection takes time.
-const SEND_MS: u64 = 300;
+const SEND_GRACE_MS: u64 = 300;
 /// Retry-after time for callers while no leader can allocate units of the team's limit. The lease
 /// of a leader that crashed lapses after about this time; an earlier retry would be rejected again.
-const NO_LENDER_MS: u64 = 2_000;
+const NO_ALLOCATOR_RETRY_MS: u64 = 2_000;
 
 /// The units that one request has reserved from its team's limit.
 #[derive(Debug, Default)]
-pub(crate) struct Payment {
-    state: Mutex<State>,
+pub(crate) struct QuotaReservation {
+    state: Mutex<ReservationState>,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum ReservationState {
     /// Nothing is reserved, or the units were used by a send that may have run.
     #[default]
-    Nothing,
+    Unreserved,
     /// The units are reserved, and the request may be sent until this time.
-    Taken { until_ms: u64 },
+    Reserved { until_ms: u64 },
     /// The request was sent, and how the send ends is not known yet.
     Sent { until_ms: u64 },
 }
 
-impl Payment {
+impl QuotaReservation {
     /// Returns whether the team's limit allows the request to be sent: units are reserved, or the
     /// team has no limit.
-    pub(crate) fn is_made(&self, task: &Task, now_ms: u64) -> bool {
+    pub(crate) fn allows_send(&self, task: &Task, now_ms: u64) -> bool {
         let state = *self.state();
-        cost(task).is_none() || matches!(state, State::Taken { until_ms } if now_ms < until_ms)
+        cost(task).is_none()
+            || matches!(state, ReservationState::Reserved { until_ms } if now_ms < until_ms)
     }
 
     /// Records that the request is sent. Returns whether its units could still be used.
-    pub(crate) fn send(&self, task: &Task, now_ms: u64) -> bool {
+    pub(crate) fn record_sent(&self, task: &Task, now_ms: u64) -> bool {
         if cost(task).is_none() {
             return true;
         }
         let mut state = self.state();
         match *state {
-            State::Taken { until_ms } | State::Sent { until_ms } if now_ms < until_ms + SEND_MS => {
-                *state = State::Sent { until_ms };
+            ReservationState::Reserved { until_ms } | ReservationState::Sent { until_ms }
+                if now_ms < until_ms + SEND_GRACE_MS =>
+            {
+                *state = ReservationState::Sent { until_ms };
                 true
             }
             _ => false,
@@ -64,14 +67,18 @@
 
     /// Records that the last send has ended. A send that may have run has used the units; otherwise
     /// they stay reserved for the next send.
-    pub(crate) fn ended(&self, may_have_run: bool) {
+    pub(crate) fn record_end(&self, may_have_run: bool) {
         let mut state = self.state();
-        if let State::Sent { until_ms } = *state {
-            *state = if may_have_run { State::Nothing } else { State::Taken { until_ms } };
+        if let ReservationState::Sent { until_ms } = *state {
+            *state = if may_have_run {
+                ReservationState::Unreserved
+            } else {
+                ReservationState::Reserved { until_ms }
+            };
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ReservationState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -99,13 +106,15 @@
     let Some(cost) = cost(task) else { return Ok(()) };
     let daemon = &task.daemon;
     let now_ms = daemon.knowledge.now_ms();
-    if task.payment.is_made(task, now_ms) {
+    if task.quota_reservation.allows_send(task, now_ms) {
         return Ok(());
     }
-    let spent_out =
+    let exhausted =
         daemon.with_allowances(|allowances| allowances.exhausted_for_ms(cost.team, now_ms));
-    match spent_out {
-        Some(in_ms) if in_ms > wait_ms(task) => Err(Failure::OverLimit { retry_after_ms: in_ms }),
+    match exhausted {
+        Some(in_ms) if in_ms > max_wait_ms(task) => {
+            Err(Failure::OverLimit { retry_after_ms: in_ms })
+        }
         _ => Ok(()),
     }
 }
@@ -115,44 +124,50 @@
 /// # Errors
 ///
 /// Fails if the limit does not allow the request soon, or if no leader can allocate units.
-pub(crate) async fn pay(task: &Task) -> Result<(), Failure> {
+pub(crate) async fn reserve(task: &Task) -> Result<(), Failure> {
     let Some(Cost { team, limit, units }) = cost(task) else { return Ok(()) };
-    let mut waits_ms = wait_ms(task);
+    let mut wait_left_ms = max_wait_ms(task);
     loop {
         match lending::spend(&task.daemon, team, &limit, units).await {
             // The answer took longer than the units that it allocates are valid.
             Ok(until_ms) if task.daemon.knowledge.now_ms() >= until_ms => {
-                return Err(Failure::NotRun { retry_after_ms: NO_LENDER_MS, why: "no_lender" });
+                return Err(Failure::NotRun {
+                    retry_after_ms: NO_ALLOCATOR_RETRY_MS,
+                    why: "no_lender",
+                });
             }
             Ok(until_ms) => {
-                *task.payment.state() = State::Taken { until_ms };
+                *task.quota_reservation.state() = ReservationState::Reserved { until_ms };
                 return Ok(());
             }
-            Err(NotLent::SpentOut { in_ms }) if in_ms <= waits_ms && !task.is_over() => {
+            Err(NotLent::SpentOut { in_ms }) if in_ms <= wait_left_ms && !task.is_expired() => {
                 let in_ms = in_ms.max(1);
-                waits_ms = waits_ms.saturating_sub(in_ms);
+                wait_left_ms = wait_left_ms.saturating_sub(in_ms);
                 Timer::after(Duration::from_millis(in_ms)).await;
             }
             Err(NotLent::SpentOut { in_ms }) => {
                 return Err(Failure::OverLimit { retry_after_ms: in_ms });
             }
             Err(NotLent::NoLender) => {
-                return Err(Failure::NotRun { retry_after_ms: NO_LENDER_MS, why: "no_lender" });
+                return Err(Failure::NotRun {
+                    retry_after_ms: NO_ALLOCATOR_RETRY_MS,
+                    why: "no_lender",
+                });
             }
         }
     }
 }
 
 /// Returns how long a request waits for its team's limit, in milliseconds.
-fn wait_ms(task: &Task) -> u64 {
-    task.route.objective_ms / WAIT_PART
+fn max_wait_ms(task: &Task) -> u64 {
+    task.route.objective_ms / WAIT_DIVISOR
 }
 
 /// Returns the units that a request reserved and did not use.
-pub(crate) fn give_back(task: &Task) {
+pub(crate) fn release(task: &Task) {
     let Some(Cost { team, units, .. }) = cost(task) else { return };
-    let state = *task.payment.state();
-    if let State::Taken { until_ms } = state {
+    let state = *task.quota_reservation.state();
+    if let ReservationState::Reserved { until_ms } = state {
         task.daemon.with_allowances(|allowances| allowances.add(team, units, until_ms));
     }
 }
--- a/crates/trestle-entry/src/traffic/report.rs
+++ b/crates/trestle-entry/src/traffic/report.rs
@@ -4,34 +4,34 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum RequestEnd {
     /// The caller got the complete answer of an endpoint.
-    Whole,
+    Complete,
     /// The daemon answered with a failure of its own.
     Failed(Failure),
     /// The answer was aborted after its beginning was passed on.
-    Broken,
+    Aborted,
     /// The request's time was used up before the answer ended.
     OutOfTime,
     /// The caller closed the connection.
-    CallerLeft,
+    CallerDisconnected,
 }
 
-impl Ended {
+impl RequestEnd {
     fn name(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Failed(failure) => failure.name(),
-            Self::Broken => "broken",
+            Self::Aborted => "broken",
             Self::OutOfTime => "out_of_time",
-            Self::CallerLeft => "caller_left",
+            Self::CallerDisconnected => "caller_left",
         }
     }
 }
 
 /// Measurements of a stream; empty for a request that is none.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct StreamSeen {
+pub(crate) struct StreamStats {
     /// Id of the last event that was passed on.
     pub(crate) last_id: Option<u64>,
     /// Time from the request's arrival to the first event.
@@ -41,16 +41,24 @@
 }
 
 /// Logs the end of a request and records its metrics.
-pub(crate) fn ended(task: &Task, end: Ended, endpoint: Option<&str>, sends: u32, seen: StreamSeen) {
+pub(crate) fn record_end(
+    task: &Task,
+    end: RequestEnd,
+    endpoint: Option<&str>,
+    sends: u32,
+    stats: StreamStats,
+) {
     let took_ms = task.elapsed_ms();
     let (retry_after_ms, why) = match end {
-        Ended::Failed(Failure::NotRun { retry_after_ms, why }) => (Some(retry_after_ms), Some(why)),
-        Ended::Failed(Failure::OverLimit { retry_after_ms }) => (Some(retry_after_ms), None),
+        RequestEnd::Failed(Failure::NotRun { retry_after_ms, why }) => {
+            (Some(retry_after_ms), Some(why))
+        }
+        RequestEnd::Failed(Failure::OverLimit { retry_after_ms }) => (Some(retry_after_ms), None),
         _ => (None, None),
     };
-    let list = endpoint.map(|_| task.list());
-    let held_back = task.held_back();
-    let held_back = held_back.as_ref();
+    let list_info = endpoint.map(|_| task.list_info());
+    let throttle = task.throttle();
+    let throttle = throttle.as_ref();
     tracing::info!(
         id = task.head.id,
         request = task.fingerprint(),
@@ -65,19 +73,19 @@
         end = end.name(),
         why,
         endpoint,
-        held_back_by = held_back.map(|seen| seen.endpoint.as_str()),
-        limit_per_s = held_back.and_then(|seen| seen.limit_per_s),
-        rest_left_ms = held_back.and_then(|seen| seen.rest_left_ms),
-        heard_ago_ms = held_back.map(|seen| seen.heard_ago_ms),
-        heard_in = held_back.map(|seen| seen.heard_in.as_str()),
-        list_version = list.map(|list| list.version),
-        list_age_ms = list.map(|list| list.age_ms),
-        list_from = list.map(|list| list.way),
+        held_back_by = throttle.map(|info| info.endpoint.as_str()),
+        limit_per_s = throttle.and_then(|info| info.limit_per_s),
+        rest_left_ms = throttle.and_then(|info| info.backoff_left_ms),
+        heard_ago_ms = throttle.map(|info| info.observed_ago_ms),
+        heard_in = throttle.map(|info| info.observed_in.as_str()),
+        list_version = list_info.map(|info| info.version),
+        list_age_ms = list_info.map(|info| info.age_ms),
+        list_from = list_info.map(|info| info.source),
         sends,
-        last_id = seen.last_id,
-        sent_ms = task.sent_ms(),
-        first_ms = seen.first_ms,
-        longest_pause_ms = seen.longest_pause_ms,
+        last_id = stats.last_id,
+        sent_ms = task.sent_after_ms(),
+        first_ms = stats.first_ms,
+        longest_pause_ms = stats.longest_pause_ms,
         retry_after_ms,
         took_ms,
         allowed_ms = task.allowed_ms,
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -6,7 +6,7 @@
     places,
     traffic::{
         answer::{Failure, RETRY_SOON_MS},
-        payment,
+        quota_reservation,
         task::Task,
     },
 };
@@ -23,23 +23,23 @@
 
 /// Longest interval between two selections while a request waits. No event announces that the
 /// daemon was told to stop, or that an endpoint excluded for a time may be tried again.
-const LOOK_MS: u64 = 250;
+const POLL_INTERVAL_MS: u64 = 250;
 
 /// An endpoint that was selected for one send. The request counts as running there until this guard
 /// is dropped.
 #[derive(Debug)]
-pub(crate) struct Taken {
+pub(crate) struct SelectedEndpoint {
     pub(crate) endpoint: Endpoint,
     task: Arc<Task>,
     /// Whether the request was sent, and whether it crashed the endpoint is not known yet.
-    is_open: bool,
+    is_pending: bool,
 }
 
-impl Taken {
+impl SelectedEndpoint {
     /// Records that the request is sent to the endpoint, which it may crash from now on.
-    pub(crate) fn leaves(&mut self) {
+    pub(crate) fn record_sent(&mut self) {
         let Some(request) = self.task.head.fingerprint else { return };
-        self.is_open = true;
+        self.is_pending = true;
         self.task
             .daemon
             .knowledge
@@ -47,9 +47,9 @@
     }
 
     /// Records that the request did not crash the endpoint: it did not run there, or was answered.
-    pub(crate) fn settle(&mut self) {
-        let Some(request) = self.task.head.fingerprint.filter(|_| self.is_open) else { return };
-        self.is_open = false;
+    pub(crate) fn resolve(&mut self) {
+        let Some(request) = self.task.head.fingerprint.filter(|_| self.is_pending) else { return };
+        self.is_pending = false;
         let incarnation = self.endpoint.incarnation();
         self.task
             .daemon
@@ -58,9 +58,9 @@
     }
 
     /// Records that the connection to the endpoint was lost after the request was sent.
-    pub(crate) fn broke(&mut self) {
+    pub(crate) fn record_connection_lost(&mut self) {
         broken::note(&self.task.daemon, &self.endpoint, self.task.head.fingerprint);
-        self.settle();
+        self.resolve();
     }
 }
 
@@ -70,46 +70,50 @@
 ///
 /// Fails as soon as it is clear that no endpoint will be available in time, that the key is no
 /// longer valid, or that the team's limit is used up. Nothing was sent by this call.
-pub(crate) async fn select(task: &Arc<Task>, sends: &Sends) -> Result<Taken, Failure> {
-    let mut wish: Option<WishGuard> = None;
-    payment::check(task)?;
+pub(crate) async fn select(task: &Arc<Task>, sends: &Sends) -> Result<SelectedEndpoint, Failure> {
+    let mut demand: Option<DemandGuard> = None;
+    quota_reservation::check(task)?;
     loop {
         let changed = task.daemon.knowledge.changed();
-        if !task.still_counts() {
+        if !task.has_valid_key() {
             return Err(Failure::NoKey);
         }
-        let number = wish.as_ref().map(|wish| wish.number);
-        let until_ms = match look(task, sends, number) {
+        let demand_id = demand.as_ref().map(|demand| demand.demand_id);
+        let until_ms = match decide(task, sends, demand_id) {
             Selection::Send(endpoint) => {
-                return Ok(Taken { endpoint, task: Arc::clone(task), is_open: false });
+                return Ok(SelectedEndpoint {
+                    endpoint,
+                    task: Arc::clone(task),
+                    is_pending: false,
+                });
             }
             Selection::RequestTrial => {
-                try_out(task).await?;
+                request_trial(task).await?;
                 continue;
             }
             Selection::Refuse { retry_after_ms, reason } => {
                 if reason != Some(Reason::EndsEndpoints) {
-                    expect_back(task, retry_after_ms);
+                    record_returning(task, retry_after_ms);
                 }
                 let why = reason.map_or("no_endpoint", Reason::name);
                 return Err(Failure::NotRun { retry_after_ms, why });
             }
             Selection::ChargeQuota => {
-                payment::pay(task).await?;
+                quota_reservation::reserve(task).await?;
                 continue;
             }
             Selection::RequestSendPermit(endpoint) => {
                 if let Some(until_ms) = places::ask(&task.daemon, &endpoint, &task.head.id).await {
-                    task.place.take(endpoint.incarnation(), until_ms);
+                    task.held_permit.set(endpoint.incarnation(), until_ms);
                 }
                 continue;
             }
-            Selection::Throttled(held_back) => {
-                let retry_after_ms = held_back.for_ms;
+            Selection::Throttled(throttled) => {
+                let retry_after_ms = throttled.for_ms;
                 // A backoff ends soon. Under a limit, which lasts longer, the model is loaded at
                 // another endpoint for the callers who retry.
-                if held_back.is_limited {
-                    expect_back(task, retry_after_ms);
+                if throttled.is_limited {
+                    record_returning(task, retry_after_ms);
                 }
                 return Err(Failure::NotRun { retry_after_ms, why: "held_back" });
             }
@@ -118,10 +122,10 @@
         if !task.daemon.stopping.can_begin(task.daemon.knowledge.now_ms()) {
             return Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "stopping" });
         }
-        if wish.is_none() {
-            wish = Some(WishGuard::new(task));
+        if demand.is_none() {
+            demand = Some(DemandGuard::new(task));
         }
-        let wait_ms = until_ms.saturating_sub(task.elapsed_ms()).clamp(1, LOOK_MS);
+        let wait_ms = until_ms.saturating_sub(task.elapsed_ms()).clamp(1, POLL_INTERVAL_MS);
         let timer = async {
             Timer::after(Duration::from_millis(wait_ms)).await;
         };
@@ -130,24 +134,24 @@
 }
 
 /// Requests permission to run a request that is suspected of crashing endpoints.
-async fn try_out(task: &Task) -> Result<(), Failure> {
+async fn request_trial(task: &Task) -> Result<(), Failure> {
     let Some(request) = task.head.fingerprint else { return Ok(()) };
-    let begun = task.trial.begin(&task.daemon, request).await;
+    let permitted = task.trial.begin(&task.daemon, request).await;
     let why = Reason::OnTrial.name();
-    begun.map_err(|retry_after_ms| Failure::NotRun { retry_after_ms, why })
+    permitted.map_err(|retry_after_ms| Failure::NotRun { retry_after_ms, why })
 }
 
 /// Decides once, with what is known now, what happens to a request.
-fn look(task: &Task, sends: &Sends, wish: Option<u64>) -> Selection {
+fn decide(task: &Task, sends: &Sends, demand_id: Option<u64>) -> Selection {
     let lot = fastrand::u64(..);
     let now_ms = task.daemon.knowledge.now_ms();
-    let place = task.place.incarnation(now_ms);
+    let send_permit = task.held_permit.incarnation(now_ms);
     task.daemon.knowledge.with(|local_view| {
-        let asking =
-            RequestContext { demand_id: wish, send_permit: place.as_ref(), ..task.asking() };
-        let selection = selection::select(local_view, asking, sends, lot, now_ms);
-        if let Selection::Throttled(held_back) = &selection {
-            task.note_held_back(local_view, &held_back.incarnation, now_ms);
+        let context =
+            RequestContext { demand_id, send_permit: send_permit.as_ref(), ..task.context() };
+        let selection = selection::select(local_view, context, sends, lot, now_ms);
+        if let Selection::Throttled(throttled) = &selection {
+            task.record_throttle(local_view, &throttled.incarnation, now_ms);
         }
         if let Selection::Send(endpoint) = &selection {
             local_view.request_started(
@@ -155,38 +159,38 @@
                 task.head.model.as_ref(),
                 task.head.adapter.as_ref(),
             );
-            task.note_list(local_view, now_ms);
+            task.record_list(local_view, now_ms);
         }
         selection
     })
 }
 
 /// Returns whether an endpoint other than the last one could run the request now.
-pub(crate) fn has_other(task: &Task, sends: &Sends) -> bool {
+pub(crate) fn has_alternative(task: &Task, sends: &Sends) -> bool {
     let now_ms = task.daemon.knowledge.now_ms();
-    let look =
-        |local_view: &mut _| selection::has_alternative(local_view, task.asking(), sends, now_ms);
-    task.daemon.knowledge.with(look)
+    let has_alternative =
+        |local_view: &mut _| selection::has_alternative(local_view, task.context(), sends, now_ms);
+    task.daemon.knowledge.with(has_alternative)
 }
 
 /// Reports the demand of a caller who was told to retry, so that the model is not evicted before.
-fn expect_back(task: &Task, retry_after_ms: u64) {
+fn record_returning(task: &Task, retry_after_ms: u64) {
     let daemon = &task.daemon;
     let now_ms = daemon.knowledge.now_ms();
-    let number = daemon.next_number();
+    let demand_id = daemon.next_number();
     daemon.knowledge.with(|local_view| {
         let policy = &local_view.policy;
-        let wish = selection::returning_demand(policy, task.asking(), retry_after_ms, now_ms);
-        if let Some(wish) = wish {
-            local_view.local_demand_for(&task.service).returning.insert(number, wish);
+        let demand = selection::returning_demand(policy, task.context(), retry_after_ms, now_ms);
+        if let Some(demand) = demand {
+            local_view.local_demand_for(&task.service).returning.insert(demand_id, demand);
         }
     });
     daemon.knowledge.wish();
 }
 
-impl Drop for Taken {
+impl Drop for SelectedEndpoint {
     fn drop(&mut self) {
-        if let Some(request) = self.task.head.fingerprint.filter(|_| self.is_open) {
+        if let Some(request) = self.task.head.fingerprint.filter(|_| self.is_pending) {
             broken::note_left(&self.task.daemon, &self.endpoint, request);
         }
         let (model, adapter) = (self.task.head.model.as_ref(), self.task.head.adapter.as_ref());
@@ -198,31 +202,31 @@
 }
 
 /// The demand of one waiting request. It is reported to the leader until this guard is dropped.
-struct WishGuard {
+struct DemandGuard {
     daemon: Arc<Daemon>,
     service: ServiceName,
-    number: u64,
+    demand_id: u64,
 }
 
-impl WishGuard {
+impl DemandGuard {
     fn new(task: &Task) -> Self {
         let daemon = Arc::clone(&task.daemon);
-        let number = daemon.next_number();
+        let demand_id = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
         daemon.knowledge.with(|local_view| {
-            if let Some(wish) = selection::pending_demand(task.asking(), due_ms) {
-                local_view.local_demand_for(&task.service).waiting.insert(number, wish);
+            if let Some(demand) = selection::pending_demand(task.context(), due_ms) {
+                local_view.local_demand_for(&task.service).waiting.insert(demand_id, demand);
             }
         });
         daemon.knowledge.wish();
-        Self { daemon, service: task.service.clone(), number }
+        Self { daemon, service: task.service.clone(), demand_id }
     }
 }
 
-impl Drop for WishGuard {
+impl Drop for DemandGuard {
     fn drop(&mut self) {
         self.daemon.knowledge.with(|local_view| {
-            local_view.local_demand_for(&self.service).waiting.remove(&self.number);
+            local_view.local_demand_for(&self.service).waiting.remove(&self.demand_id);
         });
     }
 }
--- a/crates/trestle-entry/src/traffic/serve.rs
+++ b/crates/trestle-entry/src/traffic/serve.rs
@@ -21,7 +21,7 @@
 };
 
 /// Smallest buffer size for a request's head that the HTTP library accepts.
-const LEAST_BUFFER_BYTES: usize = 16 << 10;
+const MIN_BUFFER_BYTES: usize = 16 << 10;
 
 /// Limits of one connection.
 #[derive(Debug, Clone, Copy)]
@@ -35,16 +35,16 @@
 /// Closes the connections of a listener.
 #[derive(Debug, Default)]
 pub(crate) struct ListenerShutdown {
-    is_closing: AtomicBool,
-    closing: Event,
+    has_begun: AtomicBool,
+    begun: Event,
     open: AtomicUsize,
 }
 
 impl ListenerShutdown {
     /// Closes each connection once its request is answered, and idle connections at once.
     pub(crate) fn begin(&self) {
-        self.is_closing.store(true, Ordering::SeqCst);
-        self.closing.notify(usize::MAX);
+        self.has_begun.store(true, Ordering::SeqCst);
+        self.begun.notify(usize::MAX);
     }
 
     /// Returns the number of open connections.
@@ -54,9 +54,9 @@
 
     /// Waits until the connections are to be closed.
     async fn wait(&self) {
-        let closing = self.closing.listen();
-        if !self.is_closing.load(Ordering::SeqCst) {
-            closing.await;
+        let begun = self.begun.listen();
+        if !self.has_begun.load(Ordering::SeqCst) {
+            begun.await;
         }
     }
 }
@@ -64,7 +64,7 @@
 /// Accepts connections and serves their requests until the process ends.
 pub(crate) async fn run<H, F, B>(
     listener: TcpListener,
-    closing: Arc<ListenerShutdown>,
+    shutdown: Arc<ListenerShutdown>,
     limits: impl Fn() -> ConnectionLimits,
     handle: H,
 ) where
@@ -77,8 +77,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let closing = Arc::clone(&closing);
-                smol::spawn(serve(stream, closing, limits(), handle.clone())).detach();
+                let shutdown = Arc::clone(&shutdown);
+                smol::spawn(serve(stream, shutdown, limits(), handle.clone())).detach();
             }
             Err(error) => {
                 // The process is most likely out of file descriptors; a connection will be closed
@@ -93,7 +93,7 @@
 /// Serves one connection until it is closed.
 async fn serve<H, F, B>(
     stream: TcpStream,
-    closing: Arc<ListenerShutdown>,
+    shutdown: Arc<ListenerShutdown>,
     limits: ConnectionLimits,
     handle: H,
 ) where
@@ -103,34 +103,34 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    if let Err(error) = crate::net::connect::prepare(&stream) {
+    if let Err(error) = crate::net::connect::set_options(&stream) {
         tracing::debug!(%error, "serve: Could not set the options of a connection; it keeps the system's defaults.");
     }
-    closing.open.fetch_add(1, Ordering::SeqCst);
+    shutdown.open.fetch_add(1, Ordering::SeqCst);
     let service = service_fn(move |request| {
-        let answering = handle(request);
-        async move { Ok::<_, Infallible>(answering.await) }
+        let answer = handle(request);
+        async move { Ok::<_, Infallible>(answer.await) }
     });
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     pin!(connection);
-    let told_to_close = async {
-        closing.wait().await;
+    let shutdown_requested = async {
+        shutdown.wait().await;
         None
     };
-    let ended = async { Some(connection.as_mut().await) }.or(told_to_close).await;
-    let ended = match ended {
-        Some(ended) => ended,
+    let result = async { Some(connection.as_mut().await) }.or(shutdown_requested).await;
+    let result = match result {
+        Some(result) => result,
         None => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(%error, "serve: A connection ended early.");
     }
-    closing.open.fetch_sub(1, Ordering::SeqCst);
+    shutdown.open.fetch_sub(1, Ordering::SeqCst);
 }
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -6,15 +6,15 @@
 //! closed without the end of the stream.
 
 use crate::traffic::{
-    answer::{Broken, Failure, RETRY_SOON_MS, full_body},
+    answer::{BodyError, Failure, RETRY_SOON_MS, full_body},
     attempt::{self, Attempt},
     events::EventBuffer,
-    outcome::WholeAnswer,
-    patience::Patience,
-    plain::Outcome,
-    report::{self, Ended, StreamSeen},
-    select::{self, Taken},
+    outcome::CompleteAnswer,
+    plain::ForwardOutcome,
+    report::{self, RequestEnd, StreamStats},
+    select::{self, SelectedEndpoint},
     task::Task,
+    wait_limit::WaitLimit,
 };
 use bytes::Bytes;
 use futures_lite::stream;
@@ -29,123 +29,130 @@
 };
 
 /// Runs a request until the first event of its stream; the body of the answer forwards the rest.
-pub(crate) async fn run(task: &Arc<Task>) -> Outcome {
-    let mut flow = Flow::new(task);
-    let opened = flow.open().await;
-    let endpoint = flow.sends.last.as_ref().map(ToString::to_string);
-    let sends = flow.sends.count;
-    let is_stream = matches!(opened, Ok(Opened::Events(..)));
-    let response = match opened {
-        Ok(Opened::Events(parts, first)) => {
+pub(crate) async fn run(task: &Arc<Task>) -> ForwardOutcome {
+    let mut transfer = StreamTransfer::new(task);
+    let start = transfer.open().await;
+    let endpoint = transfer.sends.last.as_ref().map(ToString::to_string);
+    let sends = transfer.sends.count;
+    let is_stream = matches!(start, Ok(StreamStart::Events(..)));
+    let response = match start {
+        Ok(StreamStart::Events(parts, first)) => {
             task.daemon.metrics.first(&task.route.name, task.elapsed_ms());
-            let seen = StreamSeen { first_ms: Some(task.elapsed_ms()), ..StreamSeen::default() };
-            let event_ms = task.elapsed_ms();
-            let running = Running { flow, first: Some(first), end: None, seen, event_ms };
-            let body = StreamBody::new(stream::unfold(running, Running::next)).boxed_unsync();
+            let stats = StreamStats { first_ms: Some(task.elapsed_ms()), ..StreamStats::default() };
+            let last_event_ms = task.elapsed_ms();
+            let forwarded = ForwardedStream {
+                transfer,
+                first_events: Some(first),
+                end: None,
+                stats,
+                last_event_ms,
+            };
+            let body =
+                StreamBody::new(stream::unfold(forwarded, ForwardedStream::next)).boxed_unsync();
             Ok(Response::from_parts(*parts, body))
         }
-        Ok(Opened::Whole(answer)) => Ok(answer.response.map(full_body)),
+        Ok(StreamStart::Complete(answer)) => Ok(answer.response.map(full_body)),
         Err(failure) => Err(failure),
     };
-    Outcome { response, endpoint, sends, is_stream }
+    ForwardOutcome { response, endpoint, sends, is_stream }
 }
 
 /// How an answer begins.
-enum Opened {
+enum StreamStart {
     /// The head of a stream and its first events.
     Events(Box<Parts>, Bytes),
     /// A complete answer that is no stream of events.
-    Whole(WholeAnswer),
+    Complete(CompleteAnswer),
 }
 
 /// The next part of a stream.
 enum Step {
     Events(Bytes),
     End,
-    Broken(Breach),
+    Error(StreamError),
 }
 
 /// Why a stream failed at an endpoint.
 #[derive(Debug)]
-enum Breach {
+enum StreamError {
     /// The connection was lost, for this reason.
     Connection(String),
     /// No event arrived within the wait limit.
-    Silence,
+    Stalled,
     /// There is no endpoint to read from.
     NoSource,
 }
 
-impl Breach {
+impl StreamError {
     fn reason(&self) -> &str {
         match self {
             Self::Connection(reason) => reason,
-            Self::Silence => "no event came for too long",
+            Self::Stalled => "no event came for too long",
             Self::NoSource => "there is no source",
         }
     }
 }
 
 /// One stream, over all the sends that it takes.
-struct Flow {
+struct StreamTransfer {
     task: Arc<Task>,
     sends: Sends,
     /// The last failure that an endpoint answered; passed on if no later send succeeds.
-    failed_answer: Option<WholeAnswer>,
+    failed_answer: Option<CompleteAnswer>,
     buffer: EventBuffer,
-    source: Option<Source>,
+    source: Option<EventSource>,
 }
 
 /// The endpoint and the connection that a stream is read from.
-struct Source {
-    taken: Taken,
+struct EventSource {
+    selected: SelectedEndpoint,
     connection: crate::net::pool::Connection,
     body: Incoming,
     /// For how long the endpoint keeps the connection while it is idle; `None` if it does not say.
     idle_ms: Option<u64>,
     /// Whether the framing of the answer shows when the body is complete.
-    shows_its_end: bool,
+    has_explicit_end: bool,
 }
 
-impl Flow {
+impl StreamTransfer {
     fn new(task: &Arc<Task>) -> Self {
         Self {
             task: Arc::clone(task),
             sends: Sends::default(),
             failed_answer: None,
-            buffer: EventBuffer::after(task.head.last_event_id),
+            buffer: EventBuffer::resuming_after(task.head.last_event_id),
             source: None,
         }
     }
 
     /// Sends the request until a first event arrives, or an answer that is no stream.
-    async fn open(&mut self) -> Result<Opened, Failure> {
+    async fn open(&mut self) -> Result<StreamStart, Failure> {
         loop {
             let attempt = match self.send().await {
                 Ok(attempt) => attempt,
-                Err(Some(failure)) => return self.give_up(failure),
+                Err(Some(failure)) => return self.final_result(failure),
                 Err(None) => continue,
             };
             if attempt.response.status() != StatusCode::OK {
-                match attempt.whole(&self.task, self.task.left_ms()).await {
-                    Ok(answer) if !self.is_resumable() => return Ok(Opened::Whole(answer)),
+                match attempt.read_complete(&self.task, self.task.remaining_ms()).await {
+                    Ok(answer) if !self.is_resumable() => return Ok(StreamStart::Complete(answer)),
                     Ok(answer) => self.failed_answer = Some(answer),
                     Err(_) => {}
                 }
-                self.note_failed();
+                self.record_failed();
                 if !self.is_resumable() {
-                    return self.give_up(Failure::MayHaveRun);
+                    return self.final_result(Failure::MayHaveRun);
                 }
                 continue;
             }
-            let parts = self.begin(attempt);
-            match self.step(wait_limit::first_event_ms(&self.task.route)).await {
-                Step::Events(first) => return Ok(Opened::Events(Box::new(parts), first)),
-                Step::End => return Ok(Opened::Events(Box::new(parts), Bytes::new())),
-                Step::Broken(breach) => {
-                    self.note_broken(&breach);
+            let parts = self.set_source(attempt);
+            match self.next_step(wait_limit::first_event_ms(&self.task.route)).await {
+                Step::Events(first) => return Ok(StreamStart::Events(Box::new(parts), first)),
+                Step::End => return Ok(StreamStart::Events(Box::new(parts), Bytes::new())),
+                Step::Error(error) => {
+                    self.record_stream_error(&error);
                     if !self.is_resumable() {
-                        return self.give_up(Failure::MayHaveRun);
+                        return self.final_result(Failure::MayHaveRun);
                     }
                 }
             }
@@ -157,7 +164,7 @@
         loop {
             match self.send().await {
                 Ok(attempt) if attempt.response.status() == StatusCode::OK => {
-                    self.begin(attempt);
+                    self.set_source(attempt);
                     return true;
                 }
                 Ok(_) | Err(Some(_)) => return false,
@@ -168,58 +175,58 @@
 
     /// Sends the request once. `Err(None)` means that the send failed and another may follow.
     async fn send(&mut self) -> Result<Attempt, Option<Failure>> {
-        if self.task.is_over() {
+        if self.task.is_expired() {
             return Err(Some(Failure::OutOfTime));
         }
-        let taken = select::select(&self.task, &self.sends).await.map_err(Some)?;
-        if !self.task.take_next(&mut self.sends) {
+        let selected = select::select(&self.task, &self.sends).await.map_err(Some)?;
+        if !self.task.reserve_next_send(&mut self.sends) {
             let why = "retries_spent";
             return Err(Some(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why }));
         }
         self.task.daemon.metrics.send(self.sends.count == 0);
-        self.sends.record_send(&taken.endpoint.name);
+        self.sends.record_send(&selected.endpoint.name);
         let last_event_id = self.buffer.last_id();
-        let patience = self.patience(wait_limit::first_event_ms(&self.task.route));
-        match attempt::send(&self.task, taken, last_event_id, patience).await {
+        let wait_limit = self.wait_limit(wait_limit::first_event_ms(&self.task.route));
+        match attempt::send(&self.task, selected, last_event_id, wait_limit).await {
             Ok(attempt) => Ok(attempt),
-            Err(unanswered) => {
-                self.sends.record_end(unanswered.end(), self.task.daemon.knowledge.now_ms());
-                let is_final = unanswered.end().may_have_run() && !self.is_resumable();
+            Err(error) => {
+                self.sends.record_end(error.send_end(), self.task.daemon.knowledge.now_ms());
+                let is_final = error.send_end().may_have_run() && !self.is_resumable();
                 Err(is_final.then_some(Failure::MayHaveRun))
             }
         }
     }
 
     /// Sets the answer as the source of the stream and returns the head for the caller.
-    /// [`Self::step`] reads the events.
-    fn begin(&mut self, attempt: Attempt) -> Parts {
+    /// [`Self::next_step`] reads the events.
+    fn set_source(&mut self, attempt: Attempt) -> Parts {
         let (mut parts, body) = attempt.response.into_parts();
-        let shows_its_end = attempt::shows_its_end(&parts.headers);
+        let has_explicit_end = attempt::has_explicit_end(&parts.headers);
         (self.task.daemon.wire.head.forward_answer)(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
-        self.source = Some(Source {
-            taken: attempt.taken,
+        self.source = Some(EventSource {
+            selected: attempt.selected,
             connection: attempt.connection,
             body,
             idle_ms: attempt.head.idle_ms,
-            shows_its_end,
+            has_explicit_end,
         });
         parts
     }
 
-    /// Returns the next complete events. After `slice_ms` without one, the stream counts as failed
+    /// Returns the next complete events. After `limit_ms` without one, the stream counts as failed
     /// if another endpoint could run the request.
-    async fn step(&mut self, slice_ms: u64) -> Step {
+    async fn next_step(&mut self, limit_ms: u64) -> Step {
         loop {
-            if let Some(events) = self.buffer.take_whole() {
+            if let Some(events) = self.buffer.take_complete() {
                 return Step::Events(events);
             }
             let Some(source) = &mut self.source else {
-                return Step::Broken(Breach::NoSource);
+                return Step::Error(StreamError::NoSource);
             };
-            let patience = Patience { task: &self.task, sends: &self.sends, slice_ms };
-            let Some(frame) = patience.wait(source.body.frame()).await else {
-                return Step::Broken(Breach::Silence);
+            let wait_limit = WaitLimit { task: &self.task, sends: &self.sends, limit_ms };
+            let Some(frame) = wait_limit.wait(source.body.frame()).await else {
+                return Step::Error(StreamError::Stalled);
             };
             match frame {
                 Some(Ok(frame)) => {
@@ -227,10 +234,10 @@
                         self.buffer.push(&data);
                     }
                 }
-                Some(Err(error)) => return Step::Broken(Breach::Connection(error.to_string())),
-                None if self.buffer.is_torn() => {
+                Some(Err(error)) => return Step::Error(StreamError::Connection(error.to_string())),
+                None if self.buffer.has_partial_event() => {
                     let reason = "it ended in the middle of an event".to_owned();
-                    return Step::Broken(Breach::Connection(reason));
+                    return Step::Error(StreamError::Connection(reason));
                 }
                 None => return self.end(),
             }
@@ -241,49 +248,49 @@
     fn end(&mut self) -> Step {
         if let Some(mut source) = self.source.take() {
             let daemon = &self.task.daemon;
-            let name = &source.taken.endpoint.name;
+            let name = &source.selected.endpoint.name;
             let now_ms = daemon.knowledge.now_ms();
             daemon.knowledge.with(|local_view| local_view.records.succeeded(name, now_ms));
-            if source.shows_its_end {
+            if source.has_explicit_end {
                 self.task.trial.settled();
-                source.taken.settle();
-                self.task.note_served(&source.taken.endpoint);
+                source.selected.resolve();
+                self.task.record_served(&source.selected.endpoint);
             }
-            daemon.pool.keep(&source.taken.endpoint, source.connection, source.idle_ms);
+            daemon.pool.keep(&source.selected.endpoint, source.connection, source.idle_ms);
         }
         Step::End
     }
 
     /// Records that the last send ran and failed.
-    fn note_failed(&mut self) {
+    fn record_failed(&mut self) {
         self.sends.record_end(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
     }
 
     /// Records that the stream failed at its endpoint, and drops the connection.
-    fn note_broken(&mut self, breach: &Breach) {
-        self.note_failed();
-        self.buffer.drop_torn();
+    fn record_stream_error(&mut self, error: &StreamError) {
+        self.record_failed();
+        self.buffer.discard_partial_event();
         self.task.trial.unanswered();
         let Some(mut source) = self.source.take() else { return };
-        let name = &source.taken.endpoint.name;
+        let name = &source.selected.endpoint.name;
         let daemon = &self.task.daemon;
         let now_ms = daemon.knowledge.now_ms();
         daemon.knowledge.with(|local_view| local_view.records.failed(name, now_ms));
         tracing::info!(
             id = self.task.head.id, request = self.task.fingerprint(), endpoint = %name,
-            reason = breach.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream failed at its endpoint."
+            reason = error.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream failed at its endpoint."
         );
-        if matches!(breach, Breach::Connection(_)) {
-            source.taken.broke();
+        if matches!(error, StreamError::Connection(_)) {
+            source.selected.record_connection_lost();
         }
     }
 
     /// Returns what the caller gets if no more sends follow.
-    fn give_up(&mut self, failure: Failure) -> Result<Opened, Failure> {
+    fn final_result(&mut self, failure: Failure) -> Result<StreamStart, Failure> {
         match self.failed_answer.take() {
             // The endpoint's own failure tells the caller more than one of the daemon's.
-            Some(answer) => Ok(Opened::Whole(answer)),
-            None if self.sends.may_have_run && self.task.is_over() => Err(Failure::OutOfTime),
+            Some(answer) => Ok(StreamStart::Complete(answer)),
+            None if self.sends.may_have_run && self.task.is_expired() => Err(Failure::OutOfTime),
             None if self.sends.may_have_run => Err(Failure::MayHaveRun),
             None if failure == Failure::OutOfTime => {
                 Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "out_of_time" })
@@ -296,47 +303,56 @@
         self.task.route.is_idempotent()
     }
 
-    fn patience(&self, slice_ms: u64) -> Patience<'_> {
-        Patience { task: &self.task, sends: &self.sends, slice_ms }
+    fn wait_limit(&self, limit_ms: u64) -> WaitLimit<'_> {
+        WaitLimit { task: &self.task, sends: &self.sends, limit_ms }
     }
 }
 
 /// A stream whose first events have arrived: the state of the answer's body.
-struct Running {
-    flow: Flow,
-    first: Option<Bytes>,
-    end: Option<Ended>,
-    seen: StreamSeen,
+struct ForwardedStream {
+    transfer: StreamTransfer,
+    first_events: Option<Bytes>,
+    end: Option<RequestEnd>,
+    stats: StreamStats,
     /// Time from the request's arrival to the last events.
-    event_ms: u64,
+    last_event_ms: u64,
 }
 
-impl Running {
+impl ForwardedStream {
     /// Returns the next part of the body; `None` after its end.
-    async fn next(mut self) -> Option<(Result<Frame<Bytes>, Broken>, Self)> {
+    async fn next(mut self) -> Option<(Result<Frame<Bytes>, BodyError>, Self)> {
         if self.end.is_some() {
             return None;
         }
-        if let Some(first) = self.first.take().filter(|first| !first.is_empty()) {
+        if let Some(first) = self.first_events.take().filter(|first| !first.is_empty()) {
             return Some((Ok(Frame::data(first)), self));
         }
         loop {
-            match self.flow.step(wait_limit::next_event_ms(&self.flow.task.route)).await {
+            match self
+                .transfer
+                .next_step(wait_limit::next_event_ms(&self.transfer.task.route))
+                .await
+            {
                 Step::Events(events) => {
-                    self.note_events();
+                    self.record_events();
                     return Some((Ok(Frame::data(events)), self));
                 }
                 Step::End => {
-                    self.end = Some(Ended::Whole);
+                    self.end = Some(RequestEnd::Complete);
                     return None;
                 }
-                Step::Broken(breach) => {
-                    self.flow.note_broken(&breach);
-                    let may_resume = self.flow.is_resumable() && !self.flow.task.is_over();
-                    if !(may_resume && self.flow.resume().await) {
-                        let is_over = self.flow.task.is_over();
-                        self.end = Some(if is_over { Ended::OutOfTime } else { Ended::Broken });
-                        return Some((Err(breach.reason().into()), self));
+                Step::Error(error) => {
+                    self.transfer.record_stream_error(&error);
+                    let may_resume =
+                        self.transfer.is_resumable() && !self.transfer.task.is_expired();
+                    if !(may_resume && self.transfer.resume().await) {
+                        let is_expired = self.transfer.task.is_expired();
+                        self.end = Some(if is_expired {
+                            RequestEnd::OutOfTime
+                        } else {
+                            RequestEnd::Aborted
+                        });
+                        return Some((Err(error.reason().into()), self));
                     }
                 }
             }
@@ -344,22 +360,22 @@
     }
 }
 
-impl Running {
+impl ForwardedStream {
     /// Records the arrival of events, for the longest pause between them.
-    fn note_events(&mut self) {
-        let now_ms = self.flow.task.elapsed_ms();
-        let pause_ms = now_ms.saturating_sub(self.event_ms);
-        self.seen.longest_pause_ms = self.seen.longest_pause_ms.max(pause_ms);
-        self.event_ms = now_ms;
+    fn record_events(&mut self) {
+        let now_ms = self.transfer.task.elapsed_ms();
+        let pause_ms = now_ms.saturating_sub(self.last_event_ms);
+        self.stats.longest_pause_ms = self.stats.longest_pause_ms.max(pause_ms);
+        self.last_event_ms = now_ms;
     }
 }
 
-impl Drop for Running {
+impl Drop for ForwardedStream {
     fn drop(&mut self) {
-        let flow = &self.flow;
-        let end = self.end.unwrap_or(Ended::CallerLeft);
-        let seen = StreamSeen { last_id: flow.buffer.last_id(), ..self.seen };
-        let endpoint = flow.sends.last.as_ref().map(AsRef::as_ref);
-        report::ended(&flow.task, end, endpoint, flow.sends.count, seen);
+        let transfer = &self.transfer;
+        let end = self.end.unwrap_or(RequestEnd::CallerDisconnected);
+        let stats = StreamStats { last_id: transfer.buffer.last_id(), ..self.stats };
+        let endpoint = transfer.sends.last.as_ref().map(AsRef::as_ref);
+        report::record_end(&transfer.task, end, endpoint, transfer.sends.count, stats);
     }
 }
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -3,8 +3,8 @@
 use crate::{
     daemon::Daemon,
     traffic::{
-        payment::{self, Payment},
-        place::Place,
+        held_permit::HeldPermit,
+        quota_reservation::{self, QuotaReservation},
     },
     trial::Trial,
 };
@@ -27,7 +27,7 @@
 };
 
 /// The most urgent and the least urgent priority that endpoints accept.
-const PRIORITIES: (u8, u8) = (0, 9);
+const PRIORITY_RANGE: (u8, u8) = (0, 9);
 
 /// One request that passed admission, from its arrival to its end.
 #[derive(Debug)]
@@ -50,39 +50,39 @@
     /// Time from the arrival to the first send to an endpoint; [`NOT_SENT`] until then.
     pub(crate) sent_after_ms: AtomicU64,
     /// The list that the last endpoint was chosen from.
-    pub(crate) list: Mutex<ListSeen>,
+    pub(crate) list_info: Mutex<ListInfo>,
     /// Whether the request may run although it is suspected of crashing endpoints.
     pub(crate) trial: Trial,
     /// The units that the request has reserved from its team's limit.
-    pub(crate) payment: Payment,
+    pub(crate) quota_reservation: QuotaReservation,
     /// The permit to send the request to an endpoint that limits its requests.
-    pub(crate) place: Place,
+    pub(crate) held_permit: HeldPermit,
     /// The endpoint whose limit or backoff kept the request from being sent, for logs.
-    pub(crate) held_back: Mutex<Option<HeldBackSeen>>,
+    pub(crate) throttle: Mutex<Option<ThrottleInfo>>,
 }
 
 /// The state of the endpoint list when an endpoint was chosen from it, for logs.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct ListSeen {
+pub(crate) struct ListInfo {
     pub(crate) version: u64,
     /// Time since the list was last known to be current.
     pub(crate) age_ms: u64,
     /// Where the list was received from.
-    pub(crate) way: &'static str,
+    pub(crate) source: &'static str,
 }
 
 /// The limit or backoff of an endpoint that kept a request from being sent, for logs.
 #[derive(Debug, Clone)]
-pub(crate) struct HeldBackSeen {
+pub(crate) struct ThrottleInfo {
     pub(crate) endpoint: EndpointName,
     /// Requests per second that the endpoint accepts; `None` if a backoff was the reason.
     pub(crate) limit_per_s: Option<f64>,
     /// Time until the backoff ends; `None` if a limit was the reason.
-    pub(crate) rest_left_ms: Option<u64>,
+    pub(crate) backoff_left_ms: Option<u64>,
     /// Time since the endpoint last reported it.
-    pub(crate) heard_ago_ms: u64,
+    pub(crate) observed_ago_ms: u64,
     /// Id of the request whose answer reported it.
-    pub(crate) heard_in: String,
+    pub(crate) observed_in: String,
 }
 
 /// Value of [`Task::sent_after_ms`] for a request that was not sent to an endpoint yet.
@@ -90,7 +90,7 @@
 
 impl Task {
     /// Returns the view of the request that endpoint selection decides on.
-    pub(crate) fn asking(&self) -> RequestContext<'_> {
+    pub(crate) fn context(&self) -> RequestContext<'_> {
         RequestContext {
             route: &self.route,
             service: &self.service,
@@ -99,13 +99,13 @@
             elapsed_ms: self.elapsed_ms(),
             demand_id: None,
             is_trial: self.trial.is_begun(),
-            has_quota: self.payment.is_made(self, self.daemon.knowledge.now_ms()),
+            has_quota: self.quota_reservation.allows_send(self, self.daemon.knowledge.now_ms()),
             send_permit: None,
         }
     }
 
     /// Reserves one more send from the retry budget. Returns whether the request may be sent.
-    pub(crate) fn take_next(&self, sends: &mut Sends) -> bool {
+    pub(crate) fn reserve_next_send(&self, sends: &mut Sends) -> bool {
         let knowledge = &self.daemon.knowledge;
         let now_ms = knowledge.now_ms();
         knowledge
@@ -119,67 +119,67 @@
 
     /// Returns whether the request may be sent to an endpoint now. The endpoint may have begun to
     /// drain, or reported a limit, while the connection was opened.
-    pub(crate) fn may_leave(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn may_send(&self, endpoint: &Endpoint) -> bool {
         let now_ms = self.daemon.knowledge.now_ms();
         let incarnation = endpoint.incarnation();
         let (is_usable, is_limited) = self.daemon.knowledge.with(|local_view| {
             let is_limited = local_view.backpressure.limit(&incarnation).is_some();
-            let rests = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
-            (local_view.directory.is_usable(&incarnation) && !rests, is_limited)
+            let backs_off = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
+            (local_view.directory.is_usable(&incarnation) && !backs_off, is_limited)
         });
         is_usable
-            && (!is_limited || self.place.may_leave(&incarnation, now_ms))
-            && self.payment.send(self, now_ms)
+            && (!is_limited || self.held_permit.allows_send(&incarnation, now_ms))
+            && self.quota_reservation.record_sent(self, now_ms)
     }
 
     /// Records the endpoint whose limit or backoff kept the request from being sent.
-    pub(crate) fn note_held_back(
+    pub(crate) fn record_throttle(
         &self,
         local_view: &LocalView,
         incarnation: &Incarnation,
         now_ms: u64,
     ) {
         let endpoint = incarnation.name.clone();
-        let (rest, limit) = (
+        let (backoff, limit) = (
             local_view.backpressure.backoff(incarnation),
             local_view.backpressure.limit(incarnation),
         );
-        let seen = match (rest, limit) {
-            (Some(rest), _) => Some(HeldBackSeen {
+        let info = match (backoff, limit) {
+            (Some(backoff), _) => Some(ThrottleInfo {
                 endpoint,
                 limit_per_s: None,
-                rest_left_ms: Some(rest.until_ms.saturating_sub(now_ms)),
-                heard_ago_ms: now_ms.saturating_sub(rest.observed_ms),
-                heard_in: rest.observed_in.clone(),
+                backoff_left_ms: Some(backoff.until_ms.saturating_sub(now_ms)),
+                observed_ago_ms: now_ms.saturating_sub(backoff.observed_ms),
+                observed_in: backoff.observed_in.clone(),
             }),
-            (None, Some(limit)) => Some(HeldBackSeen {
+            (None, Some(limit)) => Some(ThrottleInfo {
                 endpoint,
                 limit_per_s: Some(limit.per_ks as f64 / 1e3),
-                rest_left_ms: None,
-                heard_ago_ms: now_ms.saturating_sub(limit.observed_ms),
-                heard_in: limit.observed_in.clone(),
+                backoff_left_ms: None,
+                observed_ago_ms: now_ms.saturating_sub(limit.observed_ms),
+                observed_in: limit.observed_in.clone(),
             }),
             (None, None) => None,
         };
-        *self.held_back.lock().unwrap_or_else(PoisonError::into_inner) = seen;
+        *self.throttle.lock().unwrap_or_else(PoisonError::into_inner) = info;
     }
 
     /// Returns the endpoint whose limit or backoff last kept the request from being sent.
-    pub(crate) fn held_back(&self) -> Option<HeldBackSeen> {
-        self.held_back.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn throttle(&self) -> Option<ThrottleInfo> {
+        self.throttle.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Returns whether the caller's key is still valid under the current configuration.
-    pub(crate) fn still_counts(&self) -> bool {
+    pub(crate) fn has_valid_key(&self) -> bool {
         let Some(catalog) = self.daemon.knowledge.catalog() else { return true };
         catalog.version == self.config_version || self.identity.is_still_valid(&catalog)
     }
 
     /// Records that an endpoint answered the request completely. This clears the request of the
     /// suspicion that it crashes endpoints.
-    pub(crate) fn note_served(&self, endpoint: &Endpoint) {
-        let served = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
-        if let Some(ends) = self.daemon.knowledge.with(served) {
+    pub(crate) fn record_served(&self, endpoint: &Endpoint) {
+        let clear_suspicion = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
+        if let Some(ends) = self.daemon.knowledge.with(clear_suspicion) {
             tracing::warn!(
                 id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
                 "request: Got a complete answer; it is no longer suspected of crashing endpoints."
@@ -188,26 +188,26 @@
     }
 
     /// Records the list that the endpoint was chosen from.
-    pub(crate) fn note_list(&self, local_view: &LocalView, now_ms: u64) {
-        let heard = local_view.list_origin;
-        let (version, way) = (local_view.listing.version(), heard.source.name());
-        let age_ms = now_ms.saturating_sub(heard.known_ms);
-        *self.list.lock().unwrap_or_else(PoisonError::into_inner) =
-            ListSeen { version, age_ms, way };
+    pub(crate) fn record_list(&self, local_view: &LocalView, now_ms: u64) {
+        let origin = local_view.list_origin;
+        let (version, source) = (local_view.listing.version(), origin.source.name());
+        let age_ms = now_ms.saturating_sub(origin.known_ms);
+        *self.list_info.lock().unwrap_or_else(PoisonError::into_inner) =
+            ListInfo { version, age_ms, source };
     }
 
     /// Returns the list that the last endpoint was chosen from.
-    pub(crate) fn list(&self) -> ListSeen {
-        *self.list.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn list_info(&self) -> ListInfo {
+        *self.list_info.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that the request is sent to an endpoint; only the first send counts.
-    pub(crate) fn note_sent(&self) {
+    pub(crate) fn record_sent(&self) {
         self.sent_after_ms.fetch_min(self.elapsed_ms(), Ordering::Relaxed);
     }
 
     /// Returns the time from the arrival to the first send; `None` if there was none.
-    pub(crate) fn sent_ms(&self) -> Option<u64> {
+    pub(crate) fn sent_after_ms(&self) -> Option<u64> {
         Some(self.sent_after_ms.load(Ordering::Relaxed)).filter(|after_ms| *after_ms != NOT_SENT)
     }
 
@@ -217,17 +217,17 @@
     }
 
     /// Returns the time left until the complete answer is due.
-    pub(crate) fn left_ms(&self) -> u64 {
+    pub(crate) fn remaining_ms(&self) -> u64 {
         self.allowed_ms.saturating_sub(self.elapsed_ms())
     }
 
     /// Returns whether the time for the complete answer is used up.
-    pub(crate) fn is_over(&self) -> bool {
-        self.left_ms() == 0
+    pub(crate) fn is_expired(&self) -> bool {
+        self.remaining_ms() == 0
     }
 
     /// Builds the HTTP request for an endpoint. A stream is to continue after `last_event_id`.
-    pub(crate) fn request(
+    pub(crate) fn to_http_request(
         &self,
         endpoint: &Endpoint,
         last_event_id: Option<u64>,
@@ -238,8 +238,8 @@
         let mut headers = self.headers.clone();
         let forwarded = Forwarded {
             endpoint: &endpoint.name,
-            deadline_ms: self.left_ms(),
-            priority: self.route.priority.clamp(PRIORITIES.0, PRIORITIES.1),
+            deadline_ms: self.remaining_ms(),
+            priority: self.route.priority.clamp(PRIORITY_RANGE.0, PRIORITY_RANGE.1),
             last_event_id,
             identity: &self.identity,
         };
@@ -251,6 +251,6 @@
 
 impl Drop for Task {
     fn drop(&mut self) {
-        payment::give_back(self);
+        quota_reservation::release(self);
     }
 }
--- a/crates/trestle-entry/src/traffic/patience.rs
+++ b/crates/trestle-entry/src/traffic/wait_limit.rs
@@ -11,43 +11,43 @@
 
 /// The wait limit of one send of a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Patience<'a> {
+pub(crate) struct WaitLimit<'a> {
     pub(crate) task: &'a Task,
     pub(crate) sends: &'a Sends,
     /// Time after which another endpoint is tried, if one is available.
-    pub(crate) slice_ms: u64,
+    pub(crate) limit_ms: u64,
 }
 
-impl Patience<'_> {
+impl WaitLimit<'_> {
     /// Waits for a future. Returns `None` if the limit was exceeded and another endpoint could run
     /// the request, or if the request's time is used up.
-    pub(crate) async fn wait<T>(self, awaited: impl Future<Output = T>) -> Option<T> {
-        pin!(awaited);
+    pub(crate) async fn wait<T>(self, future: impl Future<Output = T>) -> Option<T> {
+        pin!(future);
         loop {
-            let slice_ms = match self.may_move() {
-                true => self.slice_ms.min(self.task.left_ms()),
-                false => self.task.left_ms(),
+            let limit_ms = match self.may_switch() {
+                true => self.limit_ms.min(self.task.remaining_ms()),
+                false => self.task.remaining_ms(),
             };
-            let done = async { Some(awaited.as_mut().await) };
+            let result = async { Some(future.as_mut().await) };
             let timed_out = async {
-                Timer::after(Duration::from_millis(slice_ms)).await;
+                Timer::after(Duration::from_millis(limit_ms)).await;
                 None
             };
-            match done.or(timed_out).await {
-                Some(done) => return Some(done),
-                None if self.task.is_over() || self.has_other() => return None,
+            match result.or(timed_out).await {
+                Some(result) => return Some(result),
+                None if self.task.is_expired() || self.has_alternative() => return None,
                 None => {}
             }
         }
     }
 
     /// Returns whether the route allows sending the request to another endpoint.
-    fn may_move(&self) -> bool {
+    fn may_switch(&self) -> bool {
         self.task.route.is_idempotent() && self.sends.has_attempt_left(&self.task.route)
     }
 
     /// Returns whether another endpoint could run the request now.
-    fn has_other(&self) -> bool {
-        self.may_move() && select::has_other(self.task, self.sends)
+    fn has_alternative(&self) -> bool {
+        self.may_switch() && select::has_alternative(self.task, self.sends)
     }
 }
