--- a/crates/trestle-entry/src/broken.rs
+++ b/crates/trestle-entry/src/broken.rs
@@ -1,8 +1,9 @@
-//! What becomes known of endpoints at which requests were broken off, or still run.
+//! Checks of endpoints after connections to them were lost.
 //!
-//! A connection that breaks has its endpoint looked at: at once whether anything listens there,
-//! and for as long as nothing shows that it lived on, again and again who that is. So a real end is
-//! noticed however many connections broke before it, and one that lives on ends under nothing.
+//! After a connection is lost, this module checks at once whether a process listens at the
+//! endpoint's address. After that it asks repeatedly which endpoint listens there, until an answer
+//! shows that the endpoint has survived. So a real crash is detected however many connections were
+//! lost before it, and an endpoint that survives is not counted as crashed.
 
 use crate::{
     crashes,
@@ -22,25 +23,25 @@
     suspects::{Break, ENDS_WITHIN_MS, Evidence},
 };
 
-/// Requests that one line of log names.
+/// Most requests listed in one log line.
 const MOST_LOGGED: usize = 8;
-/// Time for an endpoint to say who it is.
+/// Time limit for an endpoint's answer about its identity.
 const ANSWER_MS: u64 = 400;
-/// Longest pause between two looks at an endpoint that cannot be reached.
+/// Longest pause between two checks of an endpoint that cannot be reached.
 const MOST_PAUSE_MS: u64 = 2_000;
 
-/// What a look at an endpoint has shown.
+/// The result of a check.
 enum Seen {
-    /// It lives.
+    /// The endpoint is alive.
     Lives,
-    /// It has ended.
+    /// The endpoint has terminated.
     Ended(Evidence),
-    /// It cannot be told.
+    /// The check was inconclusive.
     Nothing,
 }
 
-/// Notes that a request's connection broke, and has it found out whether its endpoint has
-/// ended, by one task however many of its requests broke.
+/// Records that a request's connection was lost. The first loss at an endpoint starts a task that
+/// finds out whether the endpoint has terminated; later ones start no further task.
 pub(crate) fn note(daemon: &Arc<Daemon>, endpoint: &Endpoint, request: Option<Fingerprint>) {
     let Some(request) = request else { return };
     let now_ms = daemon.knowledge.now_ms();
@@ -55,7 +56,7 @@
     }
 }
 
-/// Notes that nobody waits any more for a request that runs at an endpoint.
+/// Records that the caller no longer waits for a request that still runs at an endpoint.
 pub(crate) fn note_left(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
     let now_ms = daemon.knowledge.now_ms();
     let has_ended =
@@ -65,7 +66,7 @@
     }
 }
 
-/// Takes what the list says of endpoints that are no longer there.
+/// Handles endpoints that the list shows to have terminated.
 pub(crate) fn note_gone(daemon: &Daemon) {
     let gone = daemon.knowledge.with(|beliefs| beliefs.ended_by_list());
     for (life, evidence) in &gone {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Takes that an endpoint has come to an address where others may have been.
+/// Handles an endpoint that is new at an address where others may have been.
 pub(crate) fn note_came(daemon: &Daemon, endpoint: &Endpoint) {
     let replaced = daemon.knowledge.with(|beliefs| beliefs.replaced_by(endpoint));
     for life in &replaced {
@@ -81,14 +82,15 @@
     }
 }
 
-/// Takes that a life of an endpoint has ended; blames the requests that were open there.
+/// Records that an incarnation of an endpoint has terminated, and attributes a crash to the
+/// requests that were open there.
 pub(crate) fn ended(daemon: &Daemon, life: &Life, evidence: Evidence) {
     let now_ms = daemon.knowledge.now_ms();
     let requests = daemon.knowledge.with(|beliefs| beliefs.has_ended(life, evidence, now_ms));
     note_ended(daemon, life, evidence.name(), &requests);
 }
 
-/// Finds out whether an endpoint has ended, until it is known or nothing depends on it.
+/// Checks an endpoint until its state is known or nothing depends on it.
 async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint) {
     let life = endpoint.life();
     let mut pause_ms = ENDS_WITHIN_MS;
@@ -106,7 +108,7 @@
         match seen {
             Seen::Lives => {
                 daemon.knowledge.with(|beliefs| beliefs.suspects.lived(&life, now_ms));
-                tracing::info!(endpoint = %life.name, born_ms = life.born_ms, "endpoint: It lives; nothing ended it.");
+                tracing::info!(endpoint = %life.name, born_ms = life.born_ms, "endpoint: The endpoint is alive; no request crashed it.");
                 pause_ms = ENDS_WITHIN_MS;
             }
             Seen::Nothing => pause_ms = (2 * pause_ms).min(MOST_PAUSE_MS),
@@ -115,18 +117,18 @@
     }
 }
 
-/// Whether anything listens at an endpoint's address.
+/// Checks whether a process listens at an endpoint's address.
 async fn listens(endpoint: &Endpoint) -> Seen {
     match connect::open(endpoint.address, CONNECT_MS).await {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
             Seen::Ended(Evidence::Refused)
         }
-        // Something does, or it cannot be reached.
+        // A process listens there, or the address cannot be reached.
         Ok(_) | Err(_) => Seen::Nothing,
     }
 }
 
-/// Looks which endpoint listens at the address of one.
+/// Checks which endpoint listens at an endpoint's address.
 async fn look(daemon: &Daemon, endpoint: &Endpoint) -> Seen {
     let Some(catalog) = daemon.knowledge.catalog() else { return listens(endpoint).await };
     let Some(service) = catalog.services.get(&endpoint.service) else {
@@ -134,7 +136,7 @@
     };
     let wire = &daemon.wire.endpoint;
     let client = CallClient::new(endpoint.address);
-    // Starts under one name are told apart by engines' reports alone.
+    // Only an engine's report distinguishes several incarnations with the same name.
     if endpoint.tells_start() {
         if service.engine.is_none() {
             return listens(endpoint).await;
@@ -159,7 +161,8 @@
     })
 }
 
-/// What an answer shows; `read` says whether it is the endpoint's own, and what follows if not.
+/// Evaluates an answer. `read` returns whether it comes from the endpoint itself, and the evidence
+/// if it does not.
 fn seen_by(
     answer: Result<Answer, Error>,
     read: impl FnOnce(Answer) -> Option<(bool, Evidence)>,
@@ -175,7 +178,8 @@
     }
 }
 
-/// Notes a request that was still open at an endpoint when that was found to have ended.
+/// Handles a request that was still open at an endpoint when the endpoint was found to have
+/// terminated.
 fn note_late(daemon: &Daemon, life: &Life, request: Fingerprint) {
     note_ended(daemon, life, "known_before", &BTreeSet::from([request]));
 }
--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/answering.rs
@@ -1,4 +1,4 @@
-//! What daemons and other leaders tell, and the answers to them.
+//! Answers to the sync requests of daemons and other leaders.
 
 use crate::control::{
     Control,
@@ -11,12 +11,12 @@
 use trestle_wire::replicas::{WireAsking, WireSynced};
 
 impl Control {
-    /// Takes what a daemon tells. It is answered when everybody who sees to its wishes has
-    /// planned with them, or soon.
+    /// Handles a sync request. It is answered when every leader that serves the reported demand
+    /// has planned with it, or after a short time limit.
     pub(super) fn sync(&mut self, asking: WireAsking, reply: Sender<WireSynced>) {
         let now_ms = self.now_ms();
         if !self.leases.is_leading(now_ms) {
-            // The asker may have given up.
+            // The requester may have given up.
             let _ = reply.try_send(self.not_leading(&asking.group, now_ms));
             return;
         }
@@ -45,7 +45,7 @@
                 known.demand.told(pending.teller.clone(), digest, now_ms);
             }
         }
-        // The answer then says what becomes of the requests that wait.
+        // After a plan the answer tells what becomes of the waiting requests.
         let has_planned = self.plan_if_due(now_ms);
         if !is_leader && !has_planned {
             self.share_out(now_ms);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Answers those for whom there is something to say, or who have waited long enough.
+    /// Answers requesters for whom there is something new, and those at their time limit.
     pub(super) fn answer_pending(&mut self, now_ms: u64) {
         if self.pendings.is_empty() {
             return;
@@ -79,12 +79,12 @@
         });
         for pending in due {
             let answer = self.answer(&pending, now_ms);
-            // The asker may have given up.
+            // The requester may have given up.
             let _ = pending.reply.try_send(answer);
         }
     }
 
-    /// Brings up to date what is told.
+    /// Rebuilds the views that are sent, where they are too old.
     fn refresh_telling(&mut self, now_ms: u64) {
         let led = self.leases.led(now_ms);
         if led.is_empty() {
--- a/crates/trestle-entry/src/control/answers.rs
+++ b/crates/trestle-entry/src/control/answers.rs
@@ -1,11 +1,11 @@
-//! Answers that wait until there is something to say.
+//! Sync answers that are held until there is something new to report.
 //!
-//! The load that this answers: callers that wait for a model which is on its way, of which sixty
-//! daemons ask one leader. Asked each 180 ms, a daemon heard of the model's arrival 90 ms after
-//! it on average, and twice as late where another leader brought it in, of the 500 ms in which
-//! callers want a first word. So a question about wishes that are known already is answered
-//! when one of them has arrived; and one with a new wish when everybody who sees to it has
-//! planned with it.
+//! This answers a load in which callers wait for a model that is being loaded, while sixty daemons
+//! query one leader. When each daemon polled every 180 ms, it learned of the model's arrival 90 ms
+//! late on average, and twice as late where another leader loaded the model; callers expect a
+//! first token within 500 ms. So a request about demand that was answered before is held until one
+//! of the requested models has arrived. A request with new demand is held until every leader that
+//! serves this demand has planned with it.
 
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,57 +17,56 @@
 };
 use trestle_wire::{relay::WireHave, replicas::WireSynced};
 
-/// Longest time for which an answer about a new wish waits: another leader plans within some
-/// 30 ms.
+/// Longest time to hold an answer about new demand: another leader plans within some 30 ms.
 const NEW_MS: u64 = 100;
-/// The same of an answer about wishes that are known: loads of engines and what changes in the
-/// store must be told meanwhile.
+/// Longest time to hold an answer about known demand: engine loads and changes in the store must
+/// be reported meanwhile.
 const KNOWN_MS: u64 = 120;
 
-/// An asker that waits for its answer.
+/// A requester whose answer is held.
 #[derive(Debug)]
 pub(crate) struct Pending {
-    /// Who told.
+    /// The daemon that sent the request.
     pub(crate) teller: VmName,
-    /// The group whose leader it asked for.
+    /// The group whose leader the requester addressed.
     pub(crate) group: String,
-    /// Whether it asks as a leader.
+    /// Whether the requester sent the request as a leader.
     pub(crate) is_leader: bool,
-    /// Takes the answer.
+    /// The channel for the answer.
     pub(crate) reply: Sender<WireSynced>,
     have: WireHave,
     told: BTreeMap<ServiceName, Told>,
     asked_ms: u64,
-    /// Whether it waits for something that it has not been answered about before.
+    /// Whether the requester waits for something about which it has not been answered before.
     is_new: bool,
-    /// Whether something that it waits for has arrived.
+    /// Whether something that the requester waits for has arrived.
     has_news: bool,
 }
 
-/// What an asker told of one service.
+/// The demand that a requester reported for one service.
 #[derive(Debug, Default)]
 struct Told {
-    /// Number of its digest.
+    /// The number of the demand report.
     number: u64,
-    /// Models that it waits for.
+    /// Models that the requester waits for.
     models: BTreeSet<ModelName>,
-    /// The same, with adapters where those are missing.
+    /// Models that the requester waits for, with the adapter where that is missing.
     wishes: BTreeSet<Loadable>,
 }
 
-/// Askers that wait for their answers.
+/// Requesters whose answers are held.
 #[derive(Debug, Default)]
 pub(crate) struct Pendings {
     all: Vec<Pending>,
-    /// What askers were last answered about.
+    /// The demand of the last answered request, by requester and service.
     answered: BTreeMap<(VmName, ServiceName), BTreeSet<Loadable>>,
 }
 
-/// No models.
+/// An empty set of models.
 static NOTHING: BTreeSet<ModelName> = BTreeSet::new();
 
 impl Pending {
-    /// An asker that has told nothing yet.
+    /// Returns a requester that has not reported any demand yet.
     pub(crate) fn new(
         teller: VmName,
         group: String,
@@ -89,25 +88,26 @@
         }
     }
 
-    /// Notes what it told of a service.
+    /// Records the demand that the requester reported for a service.
     pub(crate) fn told(&mut self, service: &ServiceName, digest: &DemandDigest) {
         let wishes: BTreeSet<Loadable> = digest.waiting.iter().map(Waiting::loadable).collect();
         let models = wishes.iter().map(|wish| wish.model.clone()).collect();
         self.told.insert(service.clone(), Told { number: digest.number, models, wishes });
     }
 
-    /// How much it has of a service's log.
+    /// Returns the position that the requester has reached in a service's placement log.
     pub(crate) fn position(&self, service: &ServiceName) -> PlacementPosition {
         let have = self.have.placements.get(service.as_str());
         have.copied().unwrap_or_default().into()
     }
 
-    /// Models of a service that it waits for.
+    /// Returns the models of a service that the requester waits for.
     pub(crate) fn models(&self, service: &ServiceName) -> &BTreeSet<ModelName> {
         self.told.get(service).map_or(&NOTHING, |told| &told.models)
     }
 
-    /// Whether its wishes have been planned with, given the number of its last digest that was.
+    /// Returns whether the reported demand has been planned with. `planned` returns the number of
+    /// a requester's last demand report that was included in a plan.
     fn is_planned(&self, planned: impl Fn(&ServiceName, &VmName) -> u64) -> bool {
         let mut waiting = self.told.iter().filter(|(_, told)| !told.models.is_empty());
         waiting.all(|(service, told)| planned(service, &self.teller) >= told.number)
@@ -121,7 +121,7 @@
         self.asked_ms + if self.is_new { NEW_MS } else { KNOWN_MS }
     }
 
-    /// Whether it is to be answered now.
+    /// Returns whether the answer is due now.
     fn is_due(&self, now_ms: u64, planned: impl Fn(&ServiceName, &VmName) -> u64) -> bool {
         let asks_anew = self.is_new || !self.waits();
         self.has_news || (asks_anew && self.is_planned(planned)) || now_ms >= self.until_ms()
@@ -129,7 +129,7 @@
 }
 
 impl Pendings {
-    /// Has an asker wait.
+    /// Holds the answer to a requester.
     pub(crate) fn push(&mut self, mut pending: Pending) {
         let teller = &pending.teller;
         let mut told = pending.told.iter();
@@ -140,7 +140,8 @@
         self.all.push(pending);
     }
 
-    /// Notes what engines of a service have become able to run, as leaders or others see it.
+    /// Records which models engines of a service have become able to run, as sent to leaders or to
+    /// other daemons.
     pub(crate) fn arrived(
         &mut self,
         service: &ServiceName,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes those that need not wait any longer.
+    /// Removes and returns the requesters whose answers are due.
     pub(crate) fn take_due(
         &mut self,
         now_ms: u64,
@@ -170,17 +171,17 @@
         due
     }
 
-    /// Whether somebody waits for news.
+    /// Returns whether no answer is held.
     pub(crate) fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Forgets everybody, once this daemon leads no more. Those that wait ask again.
+    /// Removes all requesters once this daemon no longer leads. They send their requests again.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Time until the first has waited long enough.
+    /// Returns the time until the first answer reaches its time limit.
     pub(crate) fn due_in_ms(&self, now_ms: u64) -> u64 {
         let due = self.all.iter().map(|pending| pending.until_ms().saturating_sub(now_ms));
         due.min().unwrap_or(u64::MAX)
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -1,4 +1,4 @@
-//! Carries out one change at one engine, order by order.
+//! Carries out one change at one engine, one order after another.
 
 use crate::{control::message::Message, daemon::Daemon, net::exchange::CallClient, notices};
 use smol::Timer;
@@ -10,22 +10,22 @@
     orders::{Next, Order, OrderAnswer, OrderChain},
 };
 
-/// Time for an engine to answer an order or a question; it answers at once.
+/// Time limit for an engine's answer to an order or a report request; engines answer both at once.
 const CALL_MS: u64 = 500;
-/// Longest time for a change after the time that was planned: a load from the
-/// weight store beside others, or an unload behind long streams.
+/// Longest time by which a change may exceed its planned time. It covers a load from the weight
+/// store beside other loads, and an unload that waits for long streams.
 const OVERTIME_MS: u64 = 12_000;
 
-/// Why a change ends whose orders were for an earlier start of the engine.
+/// Failure of a change whose orders were for an earlier incarnation of the engine.
 const STARTED_AGAIN: &str = "the engine has started again, or is gone";
 
-/// Why one ends at an engine that has said meanwhile that it leaves.
+/// Failure of a change at an engine that has reported meanwhile that it is draining.
 const LEAVES: &str = "the engine leaves";
 
-/// Why one ends at an engine that wants nothing for longer than it may take.
+/// Failure of a change at an engine whose requested backoff ends after the change's time limit.
 const RESTS: &str = "the engine asks for rest";
 
-/// Begins a change in a task of its own.
+/// Starts a task that carries out a change.
 pub(crate) fn start(
     daemon: &Arc<Daemon>,
     service: ServiceName,
@@ -60,7 +60,7 @@
         let wait_ms = not_before_ms.max(rests_until_ms).saturating_sub(daemon.knowledge.now_ms());
         if wait_ms > 0 {
             Timer::after(Duration::from_millis(wait_ms)).await;
-            // It may have asked for more rest meanwhile.
+            // The engine may have requested a longer backoff meanwhile.
             continue;
         }
         let now_ms = daemon.knowledge.now_ms();
@@ -111,7 +111,7 @@
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => answer,
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No report.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The engine sent no usable report.");
             return None;
         }
     };
@@ -119,13 +119,13 @@
     match (daemon.wire.endpoint.report_answer)(answer.status, &answer.body) {
         Ok(report) => Some(report),
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No report.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The engine sent no usable report.");
             None
         }
     }
 }
 
-/// Gives an order, if one may leave now.
+/// Sends an order. Returns `None` if no order may be sent now.
 async fn give(
     daemon: &Daemon,
     client: &CallClient,
@@ -147,12 +147,12 @@
             (daemon.wire.endpoint.order_answer)(answer.status)
         }
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No answer.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The order was not answered.");
             OrderAnswer::Unknown
         }
     };
     let now_ms = daemon.knowledge.now_ms();
     daemon.with_order_log(|log| log.ended(&endpoint.name, now_ms));
-    tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: Given.");
+    tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: An order was sent.");
     Some(answer)
 }
--- a/crates/trestle-entry/src/control/leaders.rs
+++ b/crates/trestle-entry/src/control/leaders.rs
@@ -1,4 +1,4 @@
-//! What this daemon, while it leads, tells other leaders and hears from them.
+//! What this daemon, while it leads, exchanges with other leaders.
 
 use crate::control::Control;
 use std::{collections::BTreeMap, net::SocketAddr};
@@ -10,7 +10,7 @@
 };
 
 impl Control {
-    /// Where other leaders answer, while this daemon leads.
+    /// Returns the addresses of other leaders while this daemon leads.
     pub(super) fn other_leaders(&mut self, now_ms: u64) -> BTreeMap<SocketAddr, (DomainName, u64)> {
         if !self.leases.is_leading(now_ms) {
             return BTreeMap::new();
@@ -20,7 +20,8 @@
         others
     }
 
-    /// What another leader is to be told, and whether it has not planned with that yet.
+    /// Returns the sync request to another leader, and whether it holds demand with which that
+    /// leader has not planned yet.
     pub(super) fn ask_other(
         &mut self,
         address: SocketAddr,
@@ -60,7 +61,7 @@
         (asking, is_new)
     }
 
-    /// Takes the answer of the leader at an address, or that it gave none.
+    /// Handles the answer of the leader at an address, or its absence.
     pub(super) fn other_answered(&mut self, address: SocketAddr, answer: Option<WireSynced>) {
         let now_ms = self.now_ms();
         let Some(answer) = answer else {
@@ -79,7 +80,7 @@
         self.is_plan_due = true;
     }
 
-    /// Takes what a leader says that has stepped down from a group.
+    /// Records the report of a leader that has stepped down from a group.
     pub(super) fn resigned(
         &mut self,
         group: &DomainName,
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -24,10 +24,11 @@
 };
 use trestle_wire::replicas::{WireGroupLease, WireResigned};
 
-/// Between two reads of the rows while a leader does not answer.
+/// Shortest time between two reads of the rows while a leader does not answer.
 const READ_GAP_MS: u64 = 800;
-/// The same of other groups' rows, at a daemon that leads none: each row is a call of its own,
-/// and of sixty daemons whose leader is lost each needs them once, to ask another leader.
+/// Shortest time between two reads of other groups' rows at a daemon that leads no group. Each row
+/// is a separate call, and each of sixty daemons that have lost their leader needs the rows once,
+/// to query another leader.
 const OTHERS_READ_GAP_MS: u64 = 5_000;
 
 /// The leases of all groups of engines.
@@ -37,7 +38,7 @@
     incarnation: u64,
     domain: DomainName,
     groups: Groups,
-    /// The group whose leader this daemon asks, and since when.
+    /// The group whose leader this daemon queries, and since when.
     home: Option<(DomainName, u64)>,
     by_group: BTreeMap<DomainName, Leasing>,
     deciders: Deciders,
@@ -46,16 +47,16 @@
     is_reading: bool,
     /// Groups whose rows must be read.
     to_read: BTreeSet<DomainName>,
-    /// When all rows must be read again while this daemon's leader does not answer.
+    /// When all rows are read again if this daemon's leader still does not answer.
     others_read_ms: Option<u64>,
-    /// Since when the daemon has been ready to lead.
+    /// Since when this daemon has been ready to lead; `None` while it is not.
     ready_since_ms: Option<u64>,
     is_acting: bool,
     left: Option<Sender<()>>,
 }
 
 impl Leases {
-    /// Nothing is known yet.
+    /// Returns the leases of which no row has been read yet.
     pub(crate) fn new(daemon: Arc<Daemon>) -> Self {
         let configured = daemon.settings.domains.iter().map(|domain| domain.as_str().into());
         let configured = configured.collect();
@@ -78,13 +79,13 @@
         }
     }
 
-    /// Sets the quiet time that the next takeovers keep.
+    /// Sets the quiet time that the next takeovers observe.
     pub(crate) fn set_quiet_ms(&mut self, quiet_ms: u64) {
         self.quiet_ms = quiet_ms;
         self.by_group.values_mut().for_each(|leasing| leasing.set_quiet_ms(quiet_ms));
     }
 
-    /// Sets how many daemons ask this one.
+    /// Sets how many daemons query this one.
     pub(crate) fn set_daemons(&mut self, daemons: usize, now_ms: u64) {
         let led = self.led(now_ms);
         let each = daemons.div_ceil(led.len().max(1)) as u32;
@@ -95,13 +96,14 @@
         }
     }
 
-    /// Daemons that asked the last holders of some groups, as these have counted them.
+    /// Returns how many daemons queried the last holders of some groups, as counted by these
+    /// holders.
     pub(crate) fn daemons_of<'a>(&self, groups: impl Iterator<Item = &'a DomainName>) -> usize {
         let rows = groups.filter_map(|group| self.by_group.get(group)?.seen_row());
         rows.map(|row| row.daemons as usize).sum()
     }
 
-    /// Takes leases as their holder tells them.
+    /// Records leases as sent by their holder.
     pub(crate) fn told(&mut self, leases: Vec<WireGroupLease>, now_ms: u64) {
         for lease in leases {
             let leasing = self.leasing(&lease.group.into());
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Takes leases as they were read.
+    /// Records leases as read from the store.
     pub(crate) fn read(
         &mut self,
         rows: BTreeMap<DomainName, (Option<LeaseRow>, u64)>,
@@ -123,14 +125,14 @@
         self.note_read();
     }
 
-    /// Takes that the leases could not be read.
+    /// Records that the leases could not be read.
     pub(crate) fn unread(&mut self, now_ms: u64) {
         self.is_reading = false;
         self.next_read_ms = now_ms + READ_GAP_MS;
         self.note_read();
     }
 
-    /// Notes that it was tried to read leases' rows.
+    /// Records in the local view that a read of the lease rows was tried.
     fn note_read(&self) {
         let is_first =
             |beliefs: &mut Beliefs| !std::mem::replace(&mut beliefs.are_leases_read, true);
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Takes that a leader does not answer.
+    /// Handles a leader that does not answer.
     pub(crate) fn leader_silent(&mut self, now_ms: u64) {
         if now_ms < self.next_read_ms {
             return;
@@ -155,7 +157,7 @@
         self.to_read.extend(others.map(|(group, _)| group.clone()));
     }
 
-    /// Takes the outcome of a write.
+    /// Records the outcome of a write.
     pub(crate) fn written(
         &mut self,
         group: &DomainName,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Takes what a leader says that has stepped down.
+    /// Records the report of a leader that has stepped down.
     pub(crate) fn heard(&mut self, group: &DomainName, resignation: Resignation, now_ms: u64) {
         self.leasing(group).heard(resignation, now_ms);
     }
@@ -184,7 +186,7 @@
         self.by_group.entry(group.clone()).or_insert_with(make)
     }
 
-    /// Does what is due.
+    /// Does the work that is due.
     pub(crate) fn look(&mut self, now_ms: u64) {
         match self.daemon.is_ready() {
             true => _ = self.ready_since_ms.get_or_insert(now_ms),
@@ -204,8 +206,8 @@
                     return false;
                 };
                 let from_ms = match home_since_ms {
-                    // Stronger ones have their turn also where the group has only now become
-                    // that of all of them.
+                    // Stronger VMs go first even if the group has only now become the home group
+                    // of all of them.
                     Some(home_since_ms) => {
                         let ready_since_ms = ready_since_ms.max(home_since_ms);
                         let candidate = Candidate { millicores, age_ms: now_ms, ready_since_ms };
@@ -247,7 +249,7 @@
         for group in needed {
             if !self.by_group.contains_key(&group) {
                 self.leasing(&group);
-                // Others hear of it from their leader.
+                // A daemon that leads no group receives the row from its leader.
                 if self.is_acting {
                     self.to_read.insert(group);
                 }
@@ -270,7 +272,7 @@
             self.is_acting = is_acting;
             self.daemon.freshness.set_leader(is_acting);
             if is_acting {
-                // A leader talks to the others, and takes groups that nobody leads.
+                // A leader queries the other leaders, and acquires groups that have no leader.
                 let unseen = self.by_group.iter();
                 let unseen = unseen.filter(|(_, leasing)| leasing.seen_row().is_none());
                 self.to_read.extend(unseen.map(|(group, _)| group.clone()));
@@ -279,30 +281,30 @@
         }
     }
 
-    /// Gives all leases up, and says when that is done.
+    /// Releases all leases, and sends a reply once that is done.
     pub(crate) fn leave(&mut self, reply: Sender<()>) {
         self.by_group.values_mut().for_each(Leasing::leave);
         self.left = Some(reply);
     }
 
-    /// Whether this daemon holds any lease.
+    /// Returns whether this daemon holds any lease.
     pub(crate) fn is_leading(&self, now_ms: u64) -> bool {
         self.by_group.values().any(|leasing| leasing.is_holder(now_ms))
     }
 
-    /// Whether it held one at the last look.
+    /// Returns whether this daemon held a lease at the last check.
     pub(crate) fn is_acting(&self) -> bool {
         self.is_acting
     }
 
-    /// The groups whose leases this daemon holds.
+    /// Returns the groups whose leases this daemon holds.
     pub(crate) fn led(&self, now_ms: u64) -> BTreeSet<DomainName> {
         let led = self.by_group.iter().filter(|(_, leasing)| leasing.is_holder(now_ms));
         led.map(|(group, _)| group.clone()).collect()
     }
 
-    /// What an asker of a group's leader is told of leases: those that are held here, and that
-    /// of its group.
+    /// Returns the lease rows for a requester that addressed a group's leader: those held by this
+    /// daemon, and that of the group.
     pub(crate) fn rows_for(&self, group: &str, now_ms: u64) -> Vec<WireGroupLease> {
         let told = self
             .by_group
@@ -310,7 +312,7 @@
             .filter(|(name, leasing)| leasing.is_holder(now_ms) || name.as_str() == group);
         let rows = told.filter_map(|(group, leasing)| {
             let (mut row, version) = leasing.row()?;
-            // An asker is told of them once, not with each answer.
+            // These lists are sent once per requester, not with each answer.
             row.refused.clear();
             row.departures.clear();
             Some(WireGroupLease { group: group.to_string(), row, version })
@@ -318,7 +320,7 @@
         rows.collect()
     }
 
-    /// What others are told of groups for which this daemon has stepped down.
+    /// Returns the reports to other daemons on groups for which this daemon has stepped down.
     pub(crate) fn resignations(&self, now_ms: u64) -> Vec<(String, WireResigned)> {
         let each = self
             .by_group
@@ -327,10 +329,12 @@
         each.collect()
     }
 
-    /// Where a leader is that this daemon should ask, after so many that did not answer.
+    /// Returns the leader that this daemon should query after a number of leaders that did not
+    /// answer.
     ///
-    /// Its own group's goes first. Where that does not answer, any other leader knows what the
-    /// store says and where models are; daemons spread over them.
+    /// The leader of its own group comes first. If that one does not answer, any other leader
+    /// knows the contents of the store and where models are loaded; daemons spread over these
+    /// leaders.
     pub(crate) fn leader(&self, attempt: usize, now_ms: u64) -> Leader {
         let mut leading = self.by_group.values().map(|leasing| leasing.leader(now_ms));
         if let Some(here) = leading.find(|leader| matches!(leader, Leader::Here { .. })) {
@@ -353,8 +357,9 @@
         all.get(attempt % all.len().max(1)).cloned().unwrap_or(Leader::Nobody)
     }
 
-    /// Where the leader is that decides for all daemons on what has this name, and since when, if
-    /// another one may have before. Leaders know of the same groups, so they agree on it.
+    /// Returns the leader that makes the decisions on a name for all daemons, and since when if
+    /// another leader may have made them before. Leaders know of the same groups, so they agree on
+    /// it.
     pub(crate) fn decider(&mut self, name: &str, now_ms: u64) -> (Leader, Option<u64>) {
         self.note_deciders(now_ms);
         let group = self.deciders.group_for(name);
@@ -374,13 +379,14 @@
         }
     }
 
-    /// Where the leader of a group is.
+    /// Returns where the leader of a group is.
     pub(crate) fn leader_of(&self, group: &DomainName, now_ms: u64) -> Leader {
         let leasing = self.by_group.get(group);
         leasing.map_or(Leader::Nobody, |leasing| leasing.leader(now_ms))
     }
 
-    /// Where other leaders answer, each with a group that it leads and its fencing number there.
+    /// Returns the addresses of other leaders, each with a group that it leads and its fencing
+    /// number there.
     pub(crate) fn others(&self, now_ms: u64) -> BTreeMap<SocketAddr, (DomainName, u64)> {
         let each = self.by_group.values().filter_map(|leasing| match leasing.leader(now_ms) {
             Leader::At { address, group, token } => Some((address, (group, token))),
@@ -399,7 +405,7 @@
                 rows.insert(group, lease);
             }
             Err(error) => {
-                tracing::warn!(%error, "lease: The rows cannot be read.");
+                tracing::warn!(%error, "lease: The lease rows cannot be read.");
                 daemon.tell(Message::LeasesUnread);
                 return;
             }
--- a/crates/trestle-entry/src/control/leasing.rs
+++ b/crates/trestle-entry/src/control/leasing.rs
@@ -1,4 +1,5 @@
-//! Keeps the lease on giving orders to one group of engines: writes its row when that is due.
+//! Holds the lease that entitles a daemon to give orders to one group of engines: writes the lease
+//! row when a write is due.
 
 use crate::{
     control::message::{Leader, Message},
@@ -14,19 +15,20 @@
 };
 use trestle_wire::replicas::{WireLease, WireResigned};
 
-/// Where the rows stand.
+/// The table of the lease rows.
 pub(crate) const TABLE: &str = "trestle";
-/// What the key of each row begins with; the name of the group follows.
+/// The prefix of each row's key; the name of the group follows.
 const KEY: &str = "leader/";
-/// Between two renewals: three fit into the time that one of them holds.
+/// Time between two renewals; three renewals fit into the time that one of them holds.
 const RENEW_MS: u64 = 600;
-/// For which a renewal lets its holder give orders. Longer outlasts a slow store,
-/// shorter lets a successor begin sooner.
+/// Time for which a renewal entitles its holder to give orders. A longer time outlasts a slow
+/// store, a shorter one lets a successor begin sooner.
 const HOLD_MS: u64 = 2_000;
-/// Time that an order may be on its way; none leaves when less than that is left.
+/// Longest time that an order may be in transit; no order is sent when less than this is left of
+/// the lease.
 const FLIGHT_MS: u64 = 500;
 
-/// Keeps the lease on giving orders to one group of engines.
+/// The lease on giving orders to one group of engines, as one daemon sees it.
 #[derive(Debug)]
 pub(crate) struct Leasing {
     daemon: Arc<Daemon>,
@@ -37,7 +39,7 @@
 }
 
 impl Leasing {
-    /// Nothing is known yet.
+    /// Returns a lease of which no row has been read yet.
     pub(crate) fn new(daemon: Arc<Daemon>, group: DomainName, incarnation: u64) -> Self {
         let settings = &daemon.settings;
         let identity = Identity {
@@ -56,17 +58,17 @@
         Self { daemon, group, lease, is_acting: false, is_leaving: false }
     }
 
-    /// Sets the quiet time that the next takeover keeps.
+    /// Sets the quiet time that the next takeover observes.
     pub(crate) fn set_quiet_ms(&mut self, quiet_ms: u64) {
         self.lease.set_quiet_ms(quiet_ms);
     }
 
-    /// Sets how many daemons ask this one, for whoever holds the lease next.
+    /// Sets the number of daemons that query this one, which the next holder reads from the row.
     pub(crate) fn set_daemons(&mut self, daemons: u32) {
         self.lease.set_daemons(daemons);
     }
 
-    /// Takes the row as it was read or told.
+    /// Records the row as read from the store or received from a daemon.
     pub(crate) fn seen(&mut self, row: Option<LeaseRow>, version: u64, now_ms: u64) {
         if let Some(row) = &row {
             crashes::heard(&self.daemon, &row.refused);
@@ -75,7 +77,7 @@
         self.lease.observed(row, version, now_ms);
     }
 
-    /// Takes the outcome of a write; returns whether the row must be read.
+    /// Records the outcome of a write. Returns whether the row must be read again.
     pub(crate) fn written(
         &mut self,
         write: LeaseWrite,
@@ -99,12 +101,12 @@
         }
     }
 
-    /// Does what is due. `may_take` says whether the lease may be taken, given since when it
-    /// has been free, and the row of its last holder.
+    /// Does the work that is due. `may_take` returns whether this daemon may acquire the lease,
+    /// given the time since which the lease has been free and the row of its last holder.
     pub(crate) fn look(&mut self, may_take: impl Fn(u64, Option<&LeaseRow>) -> bool, now_ms: u64) {
         if self.lease.has_run_out(now_ms) && !self.is_leaving {
             self.lease.resign(now_ms);
-            tracing::info!(group = %self.group, "lease: It has run out; this daemon steps down.");
+            tracing::info!(group = %self.group, "lease: The lease has expired; this daemon steps down.");
         }
         let may_write = self.lease.is_holder(now_ms) || self.is_leaving;
         let last = self.lease.seen().map(|(row, _)| row);
@@ -124,7 +126,7 @@
         self.note_change(now_ms);
     }
 
-    /// What others are told once this daemon has stepped down.
+    /// Returns the report to other daemons after this daemon has stepped down.
     pub(crate) fn resignation(&self, now_ms: u64) -> Option<WireResigned> {
         let quiet_ms = self.lease.quiet_ms();
         let engines = self.daemon.with_order_log(|log| log.quiet_for_ms(quiet_ms, now_ms));
@@ -133,38 +135,38 @@
         Some(WireResigned::new(resignation, engines))
     }
 
-    /// Takes what a leader says that has stepped down.
+    /// Records the report of a leader that has stepped down.
     pub(crate) fn heard(&mut self, resignation: Resignation, now_ms: u64) {
         self.lease.heard(resignation, now_ms);
     }
 
-    /// Gives the lease up, and takes it no more.
+    /// Releases the lease, and never acquires it again.
     pub(crate) fn leave(&mut self) {
         self.is_leaving = true;
         self.lease.leave();
     }
 
-    /// Whether nothing is left to write before the daemon may end.
+    /// Returns whether nothing is left to write before the daemon may terminate.
     pub(crate) fn has_left(&self) -> bool {
         self.lease.has_left()
     }
 
-    /// Whether this daemon holds the lease.
+    /// Returns whether this daemon holds the lease.
     pub(crate) fn is_holder(&self, now_ms: u64) -> bool {
         self.lease.is_holder(now_ms)
     }
 
-    /// The row as last seen.
+    /// Returns the row as last seen.
     pub(crate) fn seen_row(&self) -> Option<&LeaseRow> {
         self.lease.seen().map(|(row, _)| row)
     }
 
-    /// The same as it is told, with its version.
+    /// Returns the row as it is sent to other daemons, with its version.
     pub(crate) fn row(&self) -> Option<(WireLease, u64)> {
         self.lease.seen().map(|(row, version)| (WireLease::from(row), version))
     }
 
-    /// Where the leader is.
+    /// Returns where the leader of the group is.
     pub(crate) fn leader(&self, now_ms: u64) -> Leader {
         match self.lease.seen() {
             Some((row, _)) if self.lease.is_holder(now_ms) => {
@@ -207,15 +209,16 @@
     daemon.tell(Message::LeaseWritten { group, write, outcome, sent_ms });
 }
 
-/// The partition in which a group's lease lies: each has one of its own, since the store carries
-/// out one transaction of a partition after the other. While it took 384 ms for each, five
-/// leaders that renewed in one partition waited 1.9 s, and all lost their leases.
+/// Returns the partition of a group's lease row. Each group has its own, because the store
+/// executes the transactions of one partition one after another. When a transaction took 384 ms,
+/// five leaders that renewed in the same partition waited 1.9 s, and all of them lost their
+/// leases.
 pub(crate) fn partition(group: &DomainName) -> &str {
     group.as_str()
 }
 
-/// The lease among the rows of its group's partition, with its version; version 0 if there is
-/// none.
+/// Returns the lease among the rows of its group's partition, with its version; version 0 if there
+/// is none.
 pub(crate) fn among(group: &DomainName, rows: &[Row]) -> (Option<LeaseRow>, u64) {
     let is_lease = |row: &&Row| row.key.key.strip_prefix(KEY) == Some(group.as_str());
     rows.iter().find(is_lease).map_or((None, 0), |row| (decode(&row.value), row.version))
@@ -225,7 +228,7 @@
     match serde_json::from_slice::<WireLease>(value) {
         Ok(wire) => Some(wire.into()),
         Err(error) => {
-            tracing::error!(%error, "lease: The row is not understood; it counts as held.");
+            tracing::error!(%error, "lease: The row is not understood; the lease counts as held.");
             None
         }
     }
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What the control thread takes.
+//! Messages to the control thread.
 
 use async_channel::Sender;
 use std::{collections::BTreeMap, net::SocketAddr};
@@ -11,121 +11,122 @@
 };
 use trestle_wire::replicas::{WireAsking, WireGroupLease, WireSynced};
 
-/// What the control thread takes.
+/// A message to the control thread.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// Time has passed.
+    /// The time for periodic work has come.
     Tick,
-    /// A daemon tells what its callers ask for.
+    /// A sync request from another daemon, or from this one.
     Sync {
-        /// What it tells, and what it has.
+        /// The reported demand, and what the sender already has.
         asking: WireAsking,
-        /// Takes the answer.
+        /// The channel for the answer.
         reply: Sender<WireSynced>,
     },
-    /// Leases were told by their holder.
+    /// Lease rows as sent by their holder.
     LeasesTold(Vec<WireGroupLease>),
-    /// Leases were read, by group, with their versions.
+    /// Lease rows as read from the store, by group, with their versions.
     LeasesRead(BTreeMap<DomainName, (Option<LeaseRow>, u64)>),
-    /// Leases could not be read.
+    /// The lease rows could not be read from the store.
     LeasesUnread,
-    /// A write of the lease has ended.
+    /// A write of a lease row has finished.
     LeaseWritten {
         /// The group whose lease it is.
         group: DomainName,
         /// The write.
         write: LeaseWrite,
-        /// Its outcome.
+        /// The outcome of the write.
         outcome: WriteOutcome,
-        /// When it was sent.
+        /// When the write was sent.
         sent_ms: u64,
     },
     /// A leader has stepped down.
     Resigned {
         /// The group that it led.
         group: DomainName,
-        /// What it says of the lease.
+        /// The state in which it left the lease.
         resignation: Resignation,
-        /// For how long each engine must be left alone, in ms.
+        /// Time for which each engine must not receive orders, in ms.
         engines: BTreeMap<EndpointName, u64>,
     },
-    /// The leader does not answer.
+    /// A leader does not answer.
     LeaderSilent,
-    /// Asks where the leader is; after so many in a row that did not answer, another one.
+    /// Asks which leader this daemon should query.
     Leader {
-        /// Leaders that did not answer.
+        /// Number of consecutive leaders that did not answer; each selects the next leader.
         attempt: usize,
-        /// Takes the answer.
+        /// The channel for the answer.
         reply: Sender<Leader>,
     },
-    /// Asks where the leader is that decides for all daemons on something.
+    /// Asks which leader makes the decisions on a name for all daemons.
     LeaderFor {
-        /// The name of that.
+        /// The name.
         name: String,
-        /// Takes the answer, and since when that one decides on it, if another one may have
-        /// before.
+        /// The channel for the answer: the leader, and since when it makes these decisions if
+        /// another leader may have made them before.
         reply: Sender<(Leader, Option<u64>)>,
     },
     /// Asks where the leader of a group is.
     LeaderOf {
         /// The group.
         group: DomainName,
-        /// Takes the answer.
+        /// The channel for the answer.
         reply: Sender<Leader>,
     },
-    /// Asks where other leaders answer, if this daemon leads, each with a group that it leads and
-    /// its fencing number there.
+    /// Asks for the addresses of other leaders if this daemon leads; each with a group that it
+    /// leads and its fencing number there.
     OtherLeaders(Sender<BTreeMap<SocketAddr, (DomainName, u64)>>),
-    /// Asks what another leader is to be told.
+    /// Asks for the sync request to another leader.
     AskOther {
-        /// Where it answers.
+        /// The address of the other leader.
         address: SocketAddr,
-        /// A group that it leads.
+        /// A group that the other leader leads.
         group: DomainName,
-        /// Takes that, and whether it has not planned with it yet.
+        /// The channel for the request, and whether it holds demand with which the other leader
+        /// has not planned yet.
         reply: Sender<(WireAsking, bool)>,
     },
-    /// Another leader has answered, or not.
+    /// Another leader has answered a sync request, or failed to.
     OtherAnswered {
-        /// Where it answers.
+        /// The address of the other leader.
         address: SocketAddr,
-        /// What it says.
+        /// The answer; `None` if there was none.
         answer: Option<WireSynced>,
     },
-    /// A change at an engine has ended.
+    /// A change at an engine has finished.
     ChangeEnded {
         /// The engine's service.
         service: ServiceName,
-        /// The start of the engine to which its orders went.
+        /// The incarnation of the engine to which the orders were sent.
         engine: Life,
-        /// Its orders, as far as they came.
+        /// The orders, up to the last that was sent.
         chain: OrderChain,
     },
-    /// The quiet time between orders of two VMs is now this long, in ms.
+    /// Sets the quiet time between orders from two VMs, in ms.
     QuietTime(u64),
-    /// The daemon is about to stop; answered once the lease is given up.
+    /// The daemon is about to stop; answered once the leases are released.
     Stop(Sender<()>),
 }
 
-/// Where the leader is.
+/// The location of a leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Leader {
-    /// This daemon.
+    /// This daemon is the leader.
     Here {
         /// A group that it leads.
         group: DomainName,
         /// Its fencing number there.
         token: u64,
     },
-    /// Another daemon.
+    /// Another daemon is the leader.
     At {
-        /// Where it answers.
+        /// The address at which it serves daemons.
         address: SocketAddr,
         /// A group that it leads.
         group: DomainName,
         /// Its fencing number there.
         token: u64,
     },
-    /// Not known, or nobody at the moment.
+    /// No leader is known, or there is none at the moment.
     Nobody,
 }
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! The control thread.
 //!
-//! It alone holds the lease and the states of engines. It takes one message after
-//! another, decides by the functions of `trestle_dispatch`, and leaves what takes
-//! time to tasks that report back by message.
+//! It alone holds the leases and the states of engines. It handles one message after another,
+//! decides with the functions of `trestle_dispatch`, and leaves everything that takes time to
+//! tasks that send their results back as messages.
 
 mod answering;
 mod answers;
@@ -36,12 +36,12 @@
     service_state::ServiceState,
 };
 
-/// Longest time between two looks at what is due, while holding a lease.
+/// Longest time between two checks for due work while this daemon holds a lease.
 const HOLDER_TICK_MS: u64 = 100;
-/// The same while others hold all of them.
+/// Longest time between two checks for due work while other daemons hold all leases.
 const STANDBY_TICK_MS: u64 = 250;
 
-/// Everything that the control thread holds.
+/// The state of the control thread.
 struct Control {
     daemon: Arc<Daemon>,
     leases: Leases,
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
+/// Fails if the operating system cannot create a thread.
 pub(crate) fn start(daemon: Arc<Daemon>, messages: Receiver<Message>) -> io::Result<()> {
     let leases = Leases::new(Arc::clone(&daemon));
     let control = Control {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Does the work that is due by time.
     fn look(&mut self) {
         let now_ms = self.now_ms();
         let was_leader = self.leases.is_acting();
--- a/crates/trestle-entry/src/control/others.rs
+++ b/crates/trestle-entry/src/control/others.rs
@@ -1,4 +1,4 @@
-//! What other leaders tell this one, and what they are to be told.
+//! What this leader knows of other leaders, and what it has to report to them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,16 +16,16 @@
 };
 use trestle_wire::replicas::{WireDigest, WireSynced};
 
-/// Time for which a leader that does not answer still counts as one that can be asked.
+/// Time after its last answer for which a leader still counts as reachable.
 const LIVE_MS: u64 = 1_500;
-/// Time for which what it said of its engines is believed.
+/// Time after a leader's last answer for which its reports on engines are used.
 const BELIEVED_MS: u64 = 3_000;
 
-/// Other leaders, by where they answer.
+/// The other leaders, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Others {
     by_address: BTreeMap<SocketAddr, Other>,
-    /// Grows with each answer.
+    /// Increases with each answer.
     news: u64,
 }
 
@@ -38,24 +38,24 @@
     services: BTreeMap<ServiceName, OtherService>,
 }
 
-/// What passes between it and this leader about one service.
+/// The exchange between another leader and this one about one service.
 #[derive(Debug, Default)]
 struct OtherService {
     number: u64,
-    /// Requests that arrived here since it was last told.
+    /// Requests that arrived here since the last report to the other leader.
     arrivals: BTreeMap<ModelName, u32>,
-    /// Whether it has been told what is remembered here.
+    /// Whether the demand remembered here has been sent to the other leader.
     has_remembered: bool,
-    /// Wishes in the digest that it was told last.
+    /// Demand in the last report to the other leader.
     asked: BTreeSet<Loadable>,
-    /// Wishes with which it has planned.
+    /// Demand with which the other leader has planned.
     planned: BTreeSet<Loadable>,
     placements: PlacementMirror,
     view: ReplicaView,
 }
 
 impl Others {
-    /// Keeps just these.
+    /// Keeps only these leaders, and adds those that are new.
     pub(crate) fn keep(&mut self, others: &BTreeMap<SocketAddr, (DomainName, u64)>) {
         self.by_address.retain(|address, _| others.contains_key(address));
         for (address, (group, _)) in others {
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Nothing is known any more.
+    /// Removes all leaders.
     pub(crate) fn clear(&mut self) {
         self.by_address.clear();
     }
 
-    /// Notes requests that arrived at this leader's daemons.
+    /// Counts requests that arrived at this leader's daemons.
     pub(crate) fn arrived(&mut self, service: &ServiceName, digest: &DemandDigest) {
         for other in self.by_address.values_mut() {
             let known = other.services.entry(service.clone()).or_default();
@@ -81,12 +81,12 @@
         }
     }
 
-    /// The leader at an address, to be told something.
+    /// Returns the leader at an address, to build a report to it.
     pub(crate) fn get(&mut self, address: SocketAddr) -> Option<&mut Other> {
         self.by_address.get_mut(&address)
     }
 
-    /// Takes the answer of the leader at an address.
+    /// Records the answer of the leader at an address.
     pub(crate) fn answered(&mut self, address: SocketAddr, answer: WireSynced, now_ms: u64) {
         if let Some(other) = self.by_address.get_mut(&address) {
             self.news += 1;
@@ -94,23 +94,23 @@
         }
     }
 
-    /// Grows with each answer.
+    /// Returns a number that increases with each answer.
     pub(crate) fn news(&self) -> u64 {
         self.news
     }
 
-    /// Where the leaders of some groups answer.
+    /// Returns the addresses of the leaders of some groups.
     pub(crate) fn addresses(&self, groups: &BTreeSet<DomainName>) -> BTreeSet<SocketAddr> {
         let leading = self.by_address.iter().filter(|(_, other)| !other.led.is_disjoint(groups));
         leading.map(|(address, _)| *address).collect()
     }
 
-    /// Those whose word still counts, and that answer now.
+    /// Returns the leaders that have answered recently enough to count as reachable.
     pub(crate) fn live(&self, now_ms: u64) -> impl Iterator<Item = &Other> {
         self.by_address.values().filter(move |other| other.was_heard(LIVE_MS, now_ms))
     }
 
-    /// What those that are still believed say of a service's engines.
+    /// Returns what leaders with a recent enough answer report of a service's engines.
     pub(crate) fn notes<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -122,7 +122,8 @@
         views.flat_map(|known| known.view.engines.iter()).collect()
     }
 
-    /// Daemons that ask the others, of whom `of_row` tells where they have not said so.
+    /// Returns how many daemons query the other leaders. For a leader that has not reported its
+    /// number, `of_row` returns it from the lease rows of its groups.
     pub(crate) fn members(&self, of_row: impl Fn(&BTreeSet<DomainName>) -> usize) -> usize {
         let each = self.by_address.values().map(|other| match other.members {
             0 => of_row(&other.led),
@@ -137,12 +138,13 @@
         self.heard_ms.is_some_and(|heard_ms| now_ms < heard_ms + within_ms)
     }
 
-    /// The groups that it leads.
+    /// Returns the groups that the other leader leads.
     pub(crate) fn led(&self) -> &BTreeSet<DomainName> {
         &self.led
     }
 
-    /// When what it brings in will be ready, and how old that is.
+    /// Returns when the models that the other leader is loading will be ready, and the age of that
+    /// report.
     pub(crate) fn last_plan(
         &self,
         service: &ServiceName,
@@ -153,17 +155,17 @@
         Some((&known.view.ready_in_ms, age_ms))
     }
 
-    /// Wishes with which it has planned.
+    /// Returns the demand with which the other leader has planned.
     pub(crate) fn planned(&self, service: &ServiceName) -> impl Iterator<Item = &Loadable> {
         self.services.get(service).into_iter().flat_map(|known| &known.planned)
     }
 
-    /// How much it is known of a service's log.
+    /// Returns the copies of the other leader's placement logs, by service.
     pub(crate) fn placements(&self) -> impl Iterator<Item = (&ServiceName, &PlacementMirror)> {
         self.services.iter().map(|(service, known)| (service, &known.placements))
     }
 
-    /// What it is to be told of a service now.
+    /// Returns the next demand report for the other leader on a service.
     pub(crate) fn digest(
         &mut self,
         service: &ServiceName,
@@ -188,13 +190,13 @@
         WireDigest::new(service, digest, log, |name| placements.number(name))
     }
 
-    /// Whether it has planned with everything that it was asked for last.
+    /// Returns whether the other leader has planned with all demand of the last report.
     pub(crate) fn has_planned(&self) -> bool {
         let mut services = self.services.values();
         services.all(|known| known.asked.is_subset(&known.planned))
     }
 
-    /// Takes its answer.
+    /// Records an answer of the other leader.
     fn answered(&mut self, answer: WireSynced, now_ms: u64) {
         if !answer.is_leader {
             return;
--- a/crates/trestle-entry/src/control/permit.rs
+++ b/crates/trestle-entry/src/control/permit.rs
@@ -1,7 +1,7 @@
-//! Whether an order may leave at this very moment.
+//! Decides whether an order may be sent at this moment.
 //!
-//! Tasks that send orders look here right before each of them, so that a lease
-//! which ran out since they began, or while the process was frozen, stops them.
+//! Tasks check this immediately before each order, so that a lease that has expired since a task
+//! began, or while the process was frozen, stops the task.
 
 use std::{
     collections::BTreeMap,
@@ -10,10 +10,11 @@
 use trestle_core::names::DomainName;
 use trestle_dispatch::lender::HeldLease;
 
-/// Said of when orders may leave while a lease is not certain; a renewal takes about as long.
+/// Assumed time until orders may be sent while a lease is not certain; a renewal takes about as
+/// long.
 const UNKNOWN_MS: u64 = 1_000;
 
-/// The times in which orders may leave, by group of engines, and their fencing numbers.
+/// The times in which orders may be sent, and the fencing numbers, by group of engines.
 #[derive(Debug, Default)]
 pub(crate) struct OrderPermits {
     windows: Mutex<BTreeMap<DomainName, Window>>,
@@ -24,12 +25,12 @@
     token: u64,
     from_ms: u64,
     until_ms: u64,
-    /// Until when the lease is held; orders stop leaving before.
+    /// When the lease expires; orders stop earlier.
     held_until_ms: u64,
 }
 
 impl OrderPermits {
-    /// Sets the window of a group, and until when its lease is held.
+    /// Sets the window of a group, and when its lease expires.
     pub(crate) fn set(
         &self,
         group: &DomainName,
@@ -41,7 +42,7 @@
         windows.insert(group.clone(), Window { token, from_ms, until_ms, held_until_ms });
     }
 
-    /// Time until orders to a group may leave, as far as that is known.
+    /// Returns the time until orders to a group may be sent, or an assumed one if that is unknown.
     pub(crate) fn opens_in_ms(&self, group: &DomainName, now_ms: u64) -> u64 {
         let window = self.window(group);
         match now_ms < window.until_ms {
@@ -50,13 +51,14 @@
         }
     }
 
-    /// The fencing number of an order to a group that leaves now, if one may.
+    /// Returns the fencing number for an order to a group that is sent now; `None` if none may be
+    /// sent.
     pub(crate) fn token(&self, group: &DomainName, now_ms: u64) -> Option<u64> {
         let window = self.window(group);
         (window.from_ms <= now_ms && now_ms < window.until_ms).then_some(window.token)
     }
 
-    /// The leases that this daemon holds for certain, by group.
+    /// Returns the leases that this daemon certainly holds, by group.
     pub(crate) fn held(&self, now_ms: u64) -> BTreeMap<DomainName, HeldLease> {
         let windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
         let held = windows.iter().filter(|(_, window)| now_ms < window.held_until_ms);
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -1,4 +1,4 @@
-//! When the control thread plans, and with which engines.
+//! Decides when the control thread plans, and which engines a plan covers.
 
 use crate::control::{Control, change, engine_spec, others::Others};
 use std::{
@@ -11,20 +11,21 @@
     sharing::{self, Foreign},
 };
 
-/// Time until a new leader has read the engines, where that is not done yet.
+/// Assumed time until a new leader has read the list of engines, if it has not read it yet.
 const UNINFORMED_MS: u64 = 300;
 /// Shortest time between two plans.
 pub(super) const PLAN_GAP_MS: u64 = 15;
-/// The same as a multiple of the time that the last plan took: planning may take a fifth of the
-/// leader's time, whatever its VM and however many engines there are. With a tenth, a wish of
-/// another domain waited 170 ms for two plans (half a core, 51 of 256 engines).
+/// Shortest time between two plans, as a multiple of the duration of the last plan. Planning may
+/// take a fifth of the leader's time on any VM and with any number of engines. With a tenth,
+/// demand from another domain waited 170 ms for two plans (half a core, 51 of 256 engines).
 const PLAN_GAPS: u64 = 5;
 
 /// A service's engines by name.
 type Engines = BTreeMap<EndpointName, Arc<Endpoint>>;
 
 impl Control {
-    /// Plans, if there is something new and the last plan was long enough ago; returns whether.
+    /// Makes a plan if something has changed and the last plan was long enough ago. Returns
+    /// whether it did.
     pub(super) fn plan_if_due(&mut self, now_ms: u64) -> bool {
         let is_time = now_ms >= self.planned_ms + self.plan_gap_ms;
         let is_due = self.is_plan_due && is_time && self.leases.is_leading(now_ms);
@@ -38,7 +39,7 @@
         is_due
     }
 
-    /// Has wishes that other leaders see to forwarded at once, where no plan does it now.
+    /// Forwards demand that other leaders serve to them at once; for use when no plan does so now.
     pub(super) fn share_out(&mut self, now_ms: u64) {
         let Some(catalog) = self.daemon.knowledge.catalog() else { return };
         let led = self.leases.led(now_ms);
@@ -84,7 +85,7 @@
         self.daemon.knowledge.forward(self.others.addresses(&groups));
     }
 
-    /// Time until orders may be given to the first of the groups.
+    /// Returns the time until orders to the first of the groups may be sent.
     fn orders_in_ms(&self, led: &BTreeSet<DomainName>, now_ms: u64) -> u64 {
         let permits = &self.daemon.order_permits;
         let opens_in_ms = led.iter().map(|group| permits.opens_in_ms(group, now_ms)).min();
@@ -96,12 +97,12 @@
     }
 }
 
-/// Those engines that this daemon orders, and the others.
+/// Splits engines into those that this daemon controls and those that others control.
 fn by_leader(engines: Engines, led: &BTreeSet<DomainName>) -> (Engines, Engines) {
     engines.into_iter().partition(|(_, endpoint)| led.contains(&endpoint.domain))
 }
 
-/// What is known of the leaders that share a service's engines with this one.
+/// Returns what is known of the leaders that share a service's engines with this one.
 fn sharers(
     others: &Others,
     service: &ServiceName,
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/telling.rs
@@ -1,4 +1,5 @@
-//! What daemons are told of one service, made anew only when it has changed or grown old.
+//! The leader's view of one service as sent to daemons, rebuilt only when it has changed or is too
+//! old.
 
 use crate::control::others::Others;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,43 +13,44 @@
 };
 use trestle_wire::replicas::{WireView, to_ready};
 
-/// Age up to which what was told to one daemon is told to the next; it grows old by that
-/// much less than by its way and the pause between two questions.
+/// Longest age of a view that is sent again without a rebuild. It adds less to the age at the
+/// receiver than the network and the pause between two sync requests do.
 const TOLD_MS: u64 = 30;
-/// What is waited for of which all daemons are told when it will be ready. Of more, each hears
-/// of what its own callers wait for: one that has no word of a model asks within some 50 ms.
+/// Most pending loads whose remaining time is sent to all daemons. If there are more, each daemon
+/// receives only those that its own callers wait for; a daemon that has no entry for a model asks
+/// again within some 50 ms.
 const READY_TOLD_TO_ALL: usize = 64;
 
-/// Shortest time between two looks at what is new; each takes a leader some 0.3 ms.
+/// Shortest time between two rebuilds after a change; each rebuild takes a leader some 0.3 ms.
 const NEWS_MS: u64 = 20;
 
-/// What is told of one service.
+/// The leader's view of one service, in the two forms in which it is sent.
 #[derive(Debug)]
 pub(crate) struct Telling {
     at_ms: u64,
     news: u64,
-    /// Changes of the logs that askers who wait have heard of.
+    /// Sequence numbers of the two logs up to which waiting requesters were notified.
     noted: [u64; 2],
-    /// For this leader's daemons: all engines.
+    /// Sent to this leader's daemons: all engines.
     all: PlacementLog,
     view: ReplicaView,
-    /// For other leaders: the engines that this one orders.
+    /// Sent to other leaders: the engines that this leader controls.
     own: PlacementLog,
     own_view: ReplicaView,
 }
 
-/// Who is told.
+/// The requester to which a view is sent.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Asker<'a> {
-    /// Whether it leads other engines.
+    /// Whether the requester leads other engines.
     pub(crate) is_leader: bool,
-    /// How much of the log it has.
+    /// The position that the requester has reached in the placement log.
     pub(crate) have: PlacementPosition,
-    /// Models that its callers wait for.
+    /// Models that the requester's callers wait for.
     pub(crate) models: &'a BTreeSet<ModelName>,
 }
 
-/// What a leader looks at to tell of a service.
+/// What a leader builds its view of a service from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Known<'a> {
     pub(crate) state: &'a ServiceState,
@@ -75,7 +77,7 @@
 }
 
 impl Telling {
-    /// Takes what is known now, unless what was told last is fresh enough.
+    /// Rebuilds the view unless the last one is recent enough.
     pub(crate) fn refresh(&mut self, known: Known<'_>) {
         let news = known.state.news() + known.others.news();
         let told_ms = if self.news == news { TOLD_MS } else { NEWS_MS };
@@ -90,16 +92,16 @@
         self.own.update(self.own_view.engines.iter().map(|(name, note)| (name, &note.holds)));
     }
 
-    /// What engines have become able to run since this was last asked, as this leader's daemons
-    /// see it and as other leaders do.
+    /// Returns what engines have become able to run since the last call: first as sent to this
+    /// leader's daemons, then as sent to other leaders.
     pub(crate) fn arrived(&mut self) -> [(bool, BTreeSet<Loadable>); 2] {
         let [all, own] = self.noted;
         self.noted = [self.all.sequence(), self.own.sequence()];
         [(false, self.all.arrived_since(all)), (true, self.own.arrived_since(own))]
     }
 
-    /// What an asker is told. What is about other leaders' engines, these tell each other
-    /// themselves.
+    /// Returns the view for a requester. Another leader receives nothing about engines of third
+    /// leaders, since these send it themselves.
     pub(crate) fn view(&self, asker: Asker<'_>, known: Known<'_>) -> WireView {
         let (log, view) = match asker.is_leader {
             true => (&self.own, &self.own_view),
@@ -116,15 +118,16 @@
         }
     }
 
-    /// The log whose numbers an asker uses.
+    /// Returns the placement log whose engine numbers a requester uses.
     pub(crate) fn log(&self, is_leader: bool) -> &PlacementLog {
         if is_leader { &self.own } else { &self.all }
     }
 }
 
-/// When what an asker waits for will be ready. It is as new as the last plan, since an asker is
-/// answered when that has looked at its wishes: an answer some ms older once refused 700 of
-/// 5,000 callers, for whom a load had just begun.
+/// Returns when the models and adapters that a requester waits for will be ready. The result is as
+/// recent as the last plan, because a requester is answered only after a plan has included its
+/// demand: an answer some ms older once refused 700 of 5,000 callers for whom a load had just
+/// begun.
 fn ready(asker: Asker<'_>, known: Known<'_>) -> BTreeMap<Loadable, u64> {
     let mut plans = vec![known.state.last_plan(known.now_ms)];
     if !asker.is_leader {
@@ -149,7 +152,7 @@
     soonest
 }
 
-/// What is known of the engines that this leader orders.
+/// Returns what is known of the engines that this leader controls.
 fn own_view(known: Known<'_>) -> ReplicaView {
     let mut view = known.state.view(known.service, known.directory, known.now_ms);
     let Known { directory, led, .. } = known;
@@ -159,8 +162,8 @@
     view
 }
 
-/// What is known of all engines: of those that others order by their word, or else by the
-/// engines' own entries.
+/// Returns what is known of all engines. For an engine that another leader controls, that leader's
+/// report is used; without one, the engine's own entry in the list.
 fn whole_view(known: Known<'_>, own: &ReplicaView) -> ReplicaView {
     let notes = known.others.notes(known.service, known.now_ms);
     let mut usage = None;
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -1,8 +1,8 @@
-//! What this daemon and the others tell each other of requests under which endpoints ended.
+//! Reports among daemons on requests under which endpoints crashed.
 //!
-//! Daemons tell their leader, leaders tell each other, and a leader answers with the requests
-//! that are refused, each only what is new. The leases' rows keep these for daemons that start
-//! anew.
+//! Daemons report to their leader, leaders report to each other, and a leader answers with the
+//! requests that are refused; each message holds only what has changed. The lease rows keep the
+//! refused requests for daemons that restart.
 
 use crate::daemon::Daemon;
 use std::collections::BTreeSet;
@@ -16,22 +16,22 @@
     replicas::WireAsking,
 };
 
-/// Refused requests that a lease's row holds, some 200 bytes each: it is written every 0.6 s.
+/// Most refused requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
 const MOST_IN_ROW: usize = 24;
 
-/// What has passed between this daemon and a leader that it asks.
+/// The state of the exchange between this daemon and a leader that it queries.
 #[derive(Debug, Default)]
 pub(crate) struct CrashExchange {
-    /// The last change here that the leader has heard of.
+    /// The last local change that the leader has acknowledged.
     told: u64,
-    /// The same, of the question that is on its way.
+    /// The last local change that the open request reports.
     telling: u64,
-    /// The last change there that was heard of.
+    /// The last change at the leader that was received.
     heard: u64,
 }
 
 impl CrashExchange {
-    /// Adds what the leader has not heard yet.
+    /// Adds the changes that the leader has not acknowledged to a request.
     pub(crate) fn ask(&mut self, daemon: &Daemon, asking: &mut WireAsking) {
         let now_ms = daemon.knowledge.now_ms();
         let (news, number) =
@@ -41,7 +41,7 @@
         self.telling = number;
     }
 
-    /// Takes that the leader has answered, and what it says of refused requests.
+    /// Records the leader's answer, with the requests that it reports as refused.
     pub(crate) fn answered(&mut self, daemon: &Daemon, refused: Option<WireRefused>) {
         self.told = self.telling;
         if let Some(refused) = refused {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Notes that an endpoint ended under requests, and has it told.
+/// Records that an endpoint crashed under requests, and triggers a report to the leader.
 pub(crate) fn ended(daemon: &Daemon, life: &Life, requests: &BTreeSet<Fingerprint>) {
     if requests.is_empty() {
         return;
@@ -65,7 +65,7 @@
     daemon.knowledge.wish();
 }
 
-/// Takes what another daemon knows.
+/// Records the reports of another daemon.
 pub(crate) fn heard(daemon: &Daemon, reports: &[CrashReport]) {
     if reports.is_empty() {
         return;
@@ -82,33 +82,34 @@
         (refused, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
     });
     for request in taken_back {
-        tracing::warn!(%request, "request: Another daemon had a whole answer; it is refused no more.");
+        tracing::warn!(%request, "request: Another daemon received a complete answer; the request is no longer refused.");
     }
     if !refused.is_empty() {
-        // Those that wait are refused now.
+        // Waiting requests that are refused now must be woken.
         daemon.knowledge.say_changed();
         refused.into_iter().for_each(log_refused);
     }
 }
 
-/// The same, as it was sent.
+/// Records the reports of another daemon in their wire format.
 pub(crate) fn heard_wire(daemon: &Daemon, crashes: Vec<WireCrash>) {
     let reports: Vec<CrashReport> = crashes.into_iter().map(CrashReport::from).collect();
     heard(daemon, &reports);
 }
 
-/// Requests that are refused, for an asker that has heard of changes up to a number.
+/// Returns the refused requests for a requester that has received the changes up to `number`;
+/// `None` if there are no further ones.
 pub(crate) fn refused_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
     let now_ms = daemon.knowledge.now_ms();
     let (refused, number) = daemon.knowledge.with(|beliefs| {
-        // Nearly all askers lack nothing; each asks several times a second.
+        // Nearly all requesters are up to date, and each asks several times a second.
         let has_news = beliefs.crashes.refused_changes() > number;
         has_news.then(|| beliefs.crashes.refused(now_ms))
     })?;
     Some(WireRefused { crashes: refused.into_iter().map(WireCrash::from).collect(), number })
 }
 
-/// Requests that are refused, as many as a lease's row holds.
+/// Returns the refused requests, limited to what a lease row holds.
 pub(crate) fn refused_for_row(daemon: &Daemon) -> Vec<CrashReport> {
     let now_ms = daemon.knowledge.now_ms();
     let (mut refused, _) = daemon.knowledge.with(|beliefs| beliefs.crashes.refused(now_ms));
@@ -118,5 +119,5 @@
 }
 
 fn log_refused(request: Fingerprint) {
-    tracing::warn!(%request, ends = MOST_ENDS, "request: It ends endpoints; it is refused from now on.");
+    tracing::warn!(%request, ends = MOST_ENDS, "request: The request crashes endpoints; it is refused from now on.");
 }
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the parts of the daemon share.
+//! The state that all parts of the daemon share.
 
 use crate::{
     clock::Clock,
@@ -27,7 +27,7 @@
     order_log::OrderLog, policy::Policy, trials::Trials,
 };
 
-/// What the parts of the daemon share.
+/// The state that all parts of the daemon share.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) settings: EntrySettings,
@@ -51,7 +51,7 @@
 }
 
 impl Daemon {
-    /// A daemon that has not started.
+    /// Returns a daemon that has not started.
     pub(crate) fn new(
         settings: EntrySettings,
         wire: Wire,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Returns whether the balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
             && self.knowledge.with(|beliefs| beliefs.catalog.is_some() && beliefs.is_listed)
     }
 
-    /// Puts changed bounds in force.
+    /// Applies changed bounds from the settings.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
         self.knowledge.take_bounds(bounds);
         self.freshness.take_bounds(bounds);
@@ -97,37 +97,37 @@
         self.tell(Message::QuietTime(bounds.order_quiet_ms));
     }
 
-    /// Where other daemons reach this one.
+    /// Returns the address at which this daemon serves other daemons.
     pub(crate) fn peers_address(&self) -> SocketAddr {
         SocketAddr::new(self.settings.address, self.settings.peers_port)
     }
 
-    /// Looks at, or notes, when engines last got orders.
+    /// Calls a function with the log of the last orders to each engine.
     pub(crate) fn with_order_log<R>(&self, look: impl FnOnce(&mut OrderLog) -> R) -> R {
         look(&mut self.order_log.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, which attempts run of requests that ended endpoints.
+    /// Calls a function with the running attempts of requests under which endpoints crashed.
     pub(crate) fn with_trials<R>(&self, look: impl FnOnce(&mut Trials) -> R) -> R {
         look(&mut self.trials.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what this daemon has to lend while it leads.
+    /// Calls a function with the allocator of team limits, which is used while this daemon leads.
     pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut Lender) -> R) -> R {
         look(&mut self.lender.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what this daemon decides on limits of endpoints while it leads.
+    /// Calls a function with the limits of endpoints on which this daemon decides while it leads.
     pub(crate) fn with_endpoint_limits<R>(&self, look: impl FnOnce(&mut EndpointLimits) -> R) -> R {
         look(&mut self.endpoint_limits.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what it may spend of the limits of teams.
+    /// Calls a function with the parts of team limits that this daemon may spend.
     pub(crate) fn with_allowances<R>(&self, look: impl FnOnce(&mut Allowances) -> R) -> R {
         look(&mut self.allowances.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The endpoints of a service that may get new work.
+    /// Returns the endpoints of a service that may receive new work.
     pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
         self.knowledge.with(|beliefs| {
             let usable = beliefs.directory.usable_shared(service).cloned();
@@ -135,38 +135,40 @@
         })
     }
 
-    /// Whether an endpoint is still listed as this start of it.
+    /// Returns whether the list still holds this incarnation of an endpoint.
     pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
         self.knowledge.with(|beliefs| beliefs.directory.lists(&endpoint.life()))
     }
 
-    /// The same, and it is not leaving.
+    /// Returns whether the list still holds this incarnation of an endpoint, and it is not
+    /// draining.
     pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
         self.knowledge.with(|beliefs| beliefs.directory.is_usable(&endpoint.life()))
     }
 
-    /// Until when an endpoint wants nothing of this daemon; 0 if it has not said so.
+    /// Returns until when an endpoint has requested a backoff from this daemon; 0 if it has not.
     pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
         let life = endpoint.life();
         self.knowledge
             .with(|beliefs| beliefs.backpressure.rest(&life).map_or(0, |rest| rest.until_ms))
     }
 
-    /// A number that nothing else in this process has.
+    /// Returns a number that is unique in this process.
     pub(crate) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Asks the control thread something; `None` if it takes no questions any more.
+    /// Sends a query to the control thread. Returns `None` if the control thread no longer
+    /// answers.
     pub(crate) async fn ask<T>(&self, question: impl FnOnce(Sender<T>) -> Message) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
         self.tell(question(reply));
         answer.recv().await.ok()
     }
 
-    /// Tells the control thread something.
+    /// Sends a message to the control thread.
     pub(crate) fn tell(&self, message: Message) {
-        // The channel closes only when the control thread has ended with the process.
+        // The channel closes only when the control thread terminates with the process.
         let _ = self.control.try_send(message);
     }
 }
--- a/crates/trestle-entry/src/departures.rs
+++ b/crates/trestle-entry/src/departures.rs
@@ -1,4 +1,4 @@
-//! What this daemon and the others tell each other of endpoints that left or are gone.
+//! Reports among daemons on endpoints that are draining or gone.
 
 use crate::daemon::Daemon;
 use futures_lite::FutureExt;
@@ -7,15 +7,15 @@
 use trestle_dispatch::departures::Departure;
 use trestle_wire::departures::WireDeparture;
 
-/// Departures that a lease's row holds, some 90 bytes each: it is written every 0.6 s.
+/// Most departures in a lease row, some 90 bytes each; the row is written every 0.6 s.
 const MOST_IN_ROW: usize = 32;
-/// Departures that a daemon is told which asks for the first time.
+/// Most departures sent to a daemon with its first request.
 const MOST_TOLD: usize = 64;
-/// Longest time for which a daemon that starts waits for the rows before it reads the list.
+/// Longest time that a starting daemon waits for the lease rows before it reads the list.
 const MOST_WAIT_MS: u64 = 500;
 
-/// Waits until the rows of leases were read, or could not be: by what they say some entries of
-/// the list name nothing to use.
+/// Waits until the lease rows were read, or the read failed: they mark some entries of the list as
+/// not usable.
 pub(crate) async fn wait_for_rows(daemon: &Daemon) {
     let read = async {
         loop {
@@ -32,7 +32,7 @@
     read.or(waited).await;
 }
 
-/// Takes what another daemon knows.
+/// Records the departures that another daemon knows.
 pub(crate) fn heard(daemon: &Daemon, departures: &[Departure]) {
     if departures.is_empty() {
         return;
@@ -40,7 +40,7 @@
     let dropped = daemon.knowledge.with(|beliefs| beliefs.hear_departures(departures));
     for name in &dropped {
         tracing::info!(
-            endpoint = %name, "endpoint: It is gone, as another daemon knows; its entry is not its own."
+            endpoint = %name, "endpoint: Another daemon reported the endpoint as gone; its list entry is ignored."
         );
     }
     if !dropped.is_empty() {
@@ -48,18 +48,18 @@
     }
 }
 
-/// The same, as it was sent.
+/// Records departures in their wire format.
 pub(crate) fn heard_wire(daemon: &Daemon, departures: Vec<WireDeparture>) {
     let departures: Vec<Departure> = departures.into_iter().map(Departure::from).collect();
     heard(daemon, &departures);
 }
 
-/// Departures, as many as a lease's row holds.
+/// Returns the departures, limited to what a lease row holds.
 pub(crate) fn for_row(daemon: &Daemon) -> Vec<Departure> {
     daemon.knowledge.with(|beliefs| beliefs.directory.departures(MOST_IN_ROW))
 }
 
-/// Departures for a daemon that asks for the first time.
+/// Returns the departures for a daemon that sends its first request.
 pub(crate) fn for_new_asker(daemon: &Daemon) -> Vec<WireDeparture> {
     let departures = daemon.knowledge.with(|beliefs| beliefs.directory.departures(MOST_TOLD));
     departures.into_iter().map(WireDeparture::from).collect()
--- a/crates/trestle-entry/src/knowledge.rs
+++ b/crates/trestle-entry/src/knowledge.rs
@@ -1,7 +1,7 @@
-//! What this daemon believes, shared by traffic and control.
+//! The state that one daemon knows, shared by its traffic and control parts.
 //!
-//! One lock, held for a look or a change and never across a wait. Whoever waits
-//! for a change of it listens to [`Knowledge::changed`].
+//! One lock protects it. The lock is held for a single read or change and never across an await. A
+//! task that waits for a change listens to [`Knowledge::changed`].
 
 use crate::clock::Clock;
 use event_listener::{Event, EventListener};
@@ -16,24 +16,25 @@
     retry_share::RetryBounds,
 };
 
-/// Longest time by which one daemon lets a refused request through later than another: some
-/// times as long as the news takes that an endpoint ended under it.
+/// Longest time by which one daemon accepts a refused request later than another does. It is
+/// several times as long as the report that an endpoint crashed under the request takes to reach
+/// the other daemons.
 const MOST_LATE_MS: u64 = 5_000;
 
-/// What this daemon believes.
+/// The local view of one daemon behind a lock, with events for its changes.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     beliefs: Mutex<Beliefs>,
     changed: Event,
     wished: Event,
     forwarded: Event,
-    /// Other leaders that see to a wish which they have not heard of.
+    /// Leaders that serve demand which has not been reported to them yet.
     to_hear: Mutex<BTreeSet<SocketAddr>>,
     clock: Clock,
 }
 
 impl Knowledge {
-    /// Nothing is believed yet.
+    /// Returns an empty view.
     pub(crate) fn new(settings: &EntrySettings, policy: Policy, clock: Clock) -> Self {
         let bounds = &settings.bounds;
         let domain = settings.domain.as_str().into();
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Puts changed bounds in force.
+    /// Applies changed bounds from the settings.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
         self.with(|beliefs| {
             beliefs.retry_bounds = retry_bounds(bounds);
@@ -60,49 +61,50 @@
         });
     }
 
-    /// Time on this daemon's clock, which counts what it was suspended for.
+    /// Returns the time on this daemon's clock, which includes times of suspension.
     pub(crate) fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Looks at what is believed, or notes something that nobody waits for.
+    /// Reads the local view, or makes a change for which no task waits.
     pub(crate) fn with<R>(&self, look: impl FnOnce(&mut Beliefs) -> R) -> R {
         look(&mut self.beliefs.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes what is believed, and wakes whoever waits for a change.
+    /// Changes the local view, and wakes all tasks that wait for a change.
     pub(crate) fn change<R>(&self, change: impl FnOnce(&mut Beliefs) -> R) -> R {
         let result = self.with(change);
         self.say_changed();
         result
     }
 
-    /// Wakes whoever waits for a change.
+    /// Wakes all tasks that wait for a change.
     pub(crate) fn say_changed(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Hears of the next change; to be called before a look, so that none is missed.
+    /// Returns a listener for the next change. Create it before reading the view, so that no
+    /// change is missed.
     pub(crate) fn changed(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Hears of the next request that has to wait.
+    /// Returns a listener for the next request that has to wait.
     pub(crate) fn wished(&self) -> EventListener {
         self.wished.listen()
     }
 
-    /// Says that a request has to wait.
+    /// Signals that a request has to wait.
     pub(crate) fn wish(&self) {
         self.wished.notify(usize::MAX);
     }
 
-    /// Hears of the next wish that another leader sees to.
+    /// Returns a listener for the next demand that must be reported to another leader.
     pub(crate) fn forwarded(&self) -> EventListener {
         self.forwarded.listen()
     }
 
-    /// Says that other leaders see to wishes which they have not heard of.
+    /// Marks leaders that serve demand which has not been reported to them yet.
     pub(crate) fn forward(&self, leaders: BTreeSet<SocketAddr>) {
         if leaders.is_empty() {
             return;
@@ -111,7 +113,7 @@
         self.forwarded.notify(usize::MAX);
     }
 
-    /// Whether that was said of a leader since this was last asked.
+    /// Returns whether a leader has been marked since the last call, and removes the mark.
     pub(crate) fn must_hear(&self, leader: SocketAddr) -> bool {
         self.to_hear().remove(&leader)
     }
@@ -120,13 +122,13 @@
         self.to_hear.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first one.
     pub(crate) fn catalog(&self) -> Option<Arc<Catalog>> {
         self.with(|beliefs| beliefs.catalog.clone())
     }
 }
 
-/// What bounds further sends, by the settings.
+/// Returns the bounds on retries that the settings define.
 fn retry_bounds(bounds: &Bounds) -> RetryBounds {
     RetryBounds {
         ratio: bounds.retry_ratio,
@@ -135,7 +137,7 @@
     }
 }
 
-/// How far teams may exceed their limits, by the settings.
+/// Returns the bounds on exceeding team limits that the settings define.
 fn quota_bounds(bounds: &Bounds) -> QuotaBounds {
     bounds.quota.map_or_else(QuotaBounds::default, |quota| QuotaBounds {
         window_ms: (quota.window_s * 1e3) as u64,
--- a/crates/trestle-entry/src/lending.rs
+++ b/crates/trestle-entry/src/lending.rs
@@ -1,4 +1,4 @@
-//! Parts of the limits of teams: daemons borrow them from their leader, and leaders from each
+//! Parts of team limits. Daemons request allocations from their leader, and leaders from each
 //! other.
 
 use crate::{
@@ -18,23 +18,23 @@
     replicas::ReplicasClient,
 };
 
-/// Why nothing was lent.
+/// Why nothing was allocated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NotLent {
     /// The team has used up its limit.
     SpentOut {
-        /// Time until there will be enough again.
+        /// Time until enough units will be available again.
         in_ms: u64,
     },
-    /// No leader could be asked.
+    /// No leader could be reached.
     NoLender,
 }
 
-/// Takes so much from a team's limit; returns until when the request must have been sent.
+/// Spends units of a team's limit. Returns until when the request must have been sent.
 ///
 /// # Errors
 ///
-/// Fails where the limit is used up, or nobody can be asked.
+/// Fails if the limit is used up, or no leader can be reached.
 pub(crate) async fn spend(
     daemon: &Daemon,
     team: &TeamName,
@@ -65,13 +65,13 @@
     }
 }
 
-/// Asks this daemon's leader, or another one if that does not lend.
+/// Asks this daemon's leader for an allocation, or another leader if that one does not allocate.
 async fn borrow(daemon: &Daemon, team: &TeamName, units: u64) -> WireLoan {
     let borrowing = WireBorrowing { team: team.to_string(), units, is_leader: false };
     let ask = async |leader: Leader| {
         let loan = match leader {
             Leader::At { address, .. } => borrow_at(daemon, address, borrowing.clone()).await,
-            // It may also have led until a moment ago.
+            // This daemon may have led until a moment ago.
             Leader::Here { .. } | Leader::Nobody => lend(daemon, borrowing.clone()).await,
         };
         Some(loan).filter(|loan| *loan != WireLoan::NotLending)
@@ -84,7 +84,7 @@
     daemon.calls.call(address, ask).await.unwrap_or(WireLoan::NotLending)
 }
 
-/// Lends, if this daemon leads, what it has, or what other leaders have.
+/// Allocates units from what this daemon holds as a leader, or from what other leaders hold.
 pub(crate) async fn lend(daemon: &Daemon, borrowing: WireBorrowing) -> WireLoan {
     let team = TeamName::from(borrowing.team);
     let Some(limited) = Limited::of(daemon, &team) else { return WireLoan::NotLending };
@@ -108,14 +108,15 @@
         }
         lender.receive(&team, given, plan, now_ms);
         let again = lender.lend(&team, units, plan, now_ms);
-        // Both questions are one.
+        // Both calls of `lend` are for the same request; its demand counts once.
         lender.met(&team, units);
         again
     });
     again.into()
 }
 
-/// Asks other leaders, one after the other, until there is enough.
+/// Asks other leaders one after the other until there are enough units. Returns how many they
+/// gave.
 async fn ask_others(daemon: &Daemon, team: &TeamName, wanted: u64) -> u64 {
     let others = daemon.ask(Message::OtherLeaders).await.unwrap_or_default();
     let mut given = 0;
@@ -132,7 +133,8 @@
     given
 }
 
-/// Looks at what this daemon may lend of a limit, as of the leases that it holds at this moment.
+/// Calls a function with the allocator after updating it to the leases that this daemon holds at
+/// this moment.
 fn with_lender<R>(
     daemon: &Daemon,
     limited: &Limited,
@@ -146,14 +148,14 @@
     })
 }
 
-/// A team's limit, and how far it may be exceeded.
+/// A team's limit, and the bounds on exceeding it.
 struct Limited {
     limit: TeamLimit,
     bounds: QuotaBounds,
 }
 
 impl Limited {
-    /// That of a team; none if it has none, or is not known.
+    /// Returns the limit of a team; `None` if the team has none or is not configured.
     fn of(daemon: &Daemon, team: &TeamName) -> Option<Self> {
         daemon.knowledge.with(|beliefs| {
             let limit = beliefs.catalog.as_ref()?.teams.get(team)?.limit?;
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -1,19 +1,17 @@
-//! The daemon before an outside store: traffic and control around the decisions
-//! of [`trestle_dispatch`].
+//! The daemon between callers and endpoints, which uses an external store: traffic and control
+//! around the decisions of [`trestle_dispatch`].
 //!
-//! All daemons are alike. Each follows the operators' configuration and the list
-//! of live endpoints in the store, and serves callers by what it knows. One of
-//! them at a time, by a lease in the store, gives orders to engines.
+//! All daemons are alike. Each follows the operators' configuration and the list of live endpoints
+//! in the store, and serves callers by its local view. For each group of engines one daemon at a
+//! time, by a lease in the store, gives orders to the engines.
 //!
-//! - [`traffic`] carries requests. It looks at [`knowledge`] and changes only the
-//!   records in it.
-//! - [`store`] follows the store, [`peer`] the leader; both change
-//!   [`knowledge`].
-//! - [`control`] is one thread that holds the lease and plans changes at engines.
-//! - [`wire`] is what the daemon has to be told about its surroundings.
+//! - [`traffic`] handles requests. It reads [`knowledge`] and changes only the records in it.
+//! - [`store`] follows the store, [`peer`] the leader; both change [`knowledge`].
+//! - [`control`] is one thread that holds the leases and plans changes at engines.
+//! - [`wire`] defines the formats of the store, endpoints and callers.
 //!
-//! Imports run from traffic, store, peer and control to `daemon`, `knowledge`, `broken`
-//! and `net`, and from there to decisions.
+//! Imports run from traffic, store, peer and control to `daemon`, `knowledge`, `broken` and `net`,
+//! and from there to decisions.
 
 mod broken;
 mod clock;
@@ -57,54 +55,54 @@
 use trestle_config::entry_settings::EntrySettings;
 use trestle_dispatch::policy::{Mechanism, Policy, UnknownMechanism};
 
-/// Limits towards the balancer, readers of metrics, and callers before there is a
+/// Limits of connections from the balancer and metrics readers, and from callers before there is a
 /// configuration.
 const OWN_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
 
-/// The daemon cannot start or go on.
+/// An error that prevents the daemon from starting or running.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The log filter is not understood.
+    /// The log filter cannot be parsed.
     #[snafu(display("{source}"))]
     Filter {
-        /// Why.
+        /// The cause.
         source: logs::FilterError,
     },
-    /// The settings leave out a mechanism that does not exist.
+    /// The settings disable a mechanism that does not exist.
     #[snafu(display("settings: without: {source}"))]
     Mechanism {
-        /// Why.
+        /// The cause.
         source: UnknownMechanism,
     },
     /// Metrics cannot be set up.
     #[snafu(display("metrics cannot be set up: {source}"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: opentelemetry_sdk::error::OTelSdkError,
     },
-    /// An address cannot be listened at.
-    #[snafu(display("address {address} cannot be used: {source}"))]
+    /// The daemon cannot listen at an address.
+    #[snafu(display("cannot listen at address {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The system gives no thread or signals.
-    #[snafu(display("the system gives no {what}: {source}"))]
+    /// The operating system provides no thread or no signals.
+    #[snafu(display("the operating system provides no {what}: {source}"))]
     System {
-        /// What it does not give.
+        /// The missing resource.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// Fails if it cannot start.
+/// Fails if the daemon cannot start, or cannot receive signals.
 pub fn run(settings: EntrySettings, settings_path: PathBuf, wire: wire::Wire) -> Result<(), Error> {
     let logs = Arc::new(Logs::start(&settings.log).context(FilterSnafu)?);
     let metrics = Metrics::new().context(MetricsSnafu)?;
@@ -115,12 +113,12 @@
     smol::block_on(serve_all(daemon, logs, settings_path))
 }
 
-/// What decides, by the settings.
+/// Returns the policy with the mechanisms that the settings leave enabled.
 fn policy(settings: &EntrySettings) -> Result<Policy, Error> {
     let without = settings.without.iter().map(|name| name.parse());
     let without: Vec<Mechanism> = without.collect::<Result<_, _>>().context(MechanismSnafu)?;
     if !without.is_empty() {
-        tracing::warn!(without = ?without, "daemon: Mechanisms are left out.");
+        tracing::warn!(without = ?without, "daemon: Some mechanisms are disabled.");
     }
     Ok(Policy::without(without))
 }
@@ -199,7 +197,7 @@
     smol::spawn(serve::run(listener, Arc::default(), || OWN_LIMITS, handle)).detach();
 }
 
-/// What metrics tell that is counted elsewhere.
+/// Returns the metric values that are counted elsewhere.
 fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
     let now_ms = daemon.knowledge.now_ms();
     daemon.knowledge.with(|beliefs| Counted {
--- a/crates/trestle-entry/src/logs.rs
+++ b/crates/trestle-entry/src/logs.rs
@@ -1,8 +1,8 @@
-//! Logs: lines on standard output, bounded, never blocking.
+//! Log output: lines on standard output, limited in number and never blocking.
 //!
-//! Lines go through a bounded queue to a thread that writes them. Where the
-//! reader of standard output is slow, or more lines come than the settings allow
-//! in a second, lines are dropped and counted.
+//! Lines pass through a bounded queue to a thread that writes them. If the reader of standard
+//! output is slow, or more lines are logged than the settings allow per second, lines are dropped
+//! and counted.
 
 use governor::{DefaultDirectRateLimiter, Quota, RateLimiter};
 use snafu::{ResultExt, Snafu};
@@ -24,14 +24,13 @@
 };
 use trestle_config::settings::{LogFormat, LogSettings};
 
-/// Lines that may wait to be written; some seconds of a busy daemon, and below
-/// 2 MB of memory.
+/// Most lines that wait to be written: several seconds of a busy daemon, and below 2 MB of memory.
 const QUEUED_LINES: usize = 4_096;
-/// Lines that may come at once, as a multiple of those a second: all that a daemon says when
-/// it starts, or when many endpoints change together.
+/// Most lines at once, as a multiple of the lines per second. It covers all lines of a daemon that
+/// starts, or of many endpoints that change together.
 const BURST_S: u32 = 2;
 
-/// The filter of the settings is not understood.
+/// The log filter of the settings cannot be parsed.
 #[derive(Debug, Snafu)]
 #[snafu(display("log filter `{filter}` is not understood: {source}"))]
 pub struct FilterError {
@@ -39,7 +38,7 @@
     source: ParseError,
 }
 
-/// What keeps logs going: lines are written as long as it lives.
+/// The log output; lines are written as long as this value exists.
 #[derive(Debug)]
 pub struct Logs {
     _worker: WorkerGuard,
@@ -48,11 +47,11 @@
 }
 
 impl Logs {
-    /// Begins to write logs.
+    /// Starts the log output.
     ///
     /// # Errors
     ///
-    /// Fails if the filter is not understood.
+    /// Fails if the filter cannot be parsed.
     pub fn start(settings: &LogSettings) -> Result<Self, FilterError> {
         let filter = &settings.filter;
         let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
@@ -76,16 +75,16 @@
         Ok(Self { _worker: worker, unread, beyond })
     }
 
-    /// Lines that were dropped since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> usize {
         self.unread.dropped_lines() + self.beyond.load(Ordering::Relaxed)
     }
 }
 
-/// Bounds how many lines are written in a second.
+/// A filter that limits how many lines are written per second.
 struct Volume {
     limiter: DefaultDirectRateLimiter,
-    /// Lines that were beyond the bound.
+    /// Number of lines dropped because of the limit.
     beyond: Arc<AtomicUsize>,
 }
 
--- a/crates/trestle-entry/src/metrics.rs
+++ b/crates/trestle-entry/src/metrics.rs
@@ -7,7 +7,7 @@
 use opentelemetry_sdk::{error::OTelSdkError, metrics::SdkMeterProvider};
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Upper bounds of the histograms, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BOUNDS_MS: [f64; 13] =
     [5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1.6e3, 3.2e3, 6.4e3, 1.28e4, 2.56e4];
 
@@ -27,27 +27,27 @@
     asking_endpoints: Gauge<u64>,
 }
 
-/// What is counted elsewhere, as it is when metrics are asked for.
+/// Values that are counted elsewhere, as of the time when metrics are requested.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Counted {
     /// Calls to the store since the start.
     pub(crate) store_calls: u64,
     /// Log lines dropped since the start.
     pub(crate) log_drops: usize,
-    /// Endpoints that have named a limit.
+    /// Endpoints that have reported a limit.
     pub(crate) limited: usize,
-    /// Endpoints that rest.
+    /// Endpoints that have requested a backoff.
     pub(crate) resting: usize,
-    /// Listed endpoints that leave.
+    /// Listed endpoints that are draining.
     pub(crate) leaving: usize,
 }
 
 impl Metrics {
-    /// Metrics that can be scraped.
+    /// Returns metrics that can be scraped.
     ///
     /// # Errors
     ///
-    /// Fails if the registry refuses them.
+    /// Fails if the registry rejects the metrics.
     pub(crate) fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -85,39 +85,40 @@
         })
     }
 
-    /// Notes the first part of an answer.
+    /// Records the time until the first part of an answer.
     pub(crate) fn first(&self, route: &str, time_ms: u64) {
         self.first_ms.record(time_ms as f64, &[KeyValue::new("route", route.to_owned())]);
     }
 
-    /// Notes the end of a request.
+    /// Records the outcome and the duration of a request.
     pub(crate) fn whole(&self, route: &str, outcome: &'static str, time_ms: u64) {
         let labels = [KeyValue::new("route", route.to_owned()), KeyValue::new("outcome", outcome)];
         self.whole_ms.record(time_ms as f64, &labels);
     }
 
-    /// Notes a send to an endpoint, and whether it was the first of its request.
+    /// Records a send to an endpoint, and whether it was the first of its request.
     pub(crate) fn send(&self, is_first: bool) {
         self.sends.add(1, &[KeyValue::new("first", is_first)]);
     }
 
-    /// Notes an entry of an endpoint that was not understood.
+    /// Records an entry of an endpoint that could not be parsed.
     pub(crate) fn unread_entry(&self) {
         self.unread_entries.add(1, &[]);
     }
 
-    /// Notes a change at an engine.
+    /// Records a change at an engine.
     pub(crate) fn change(&self, is_done: bool, is_remote: bool, time_ms: u64) {
         let labels = [KeyValue::new("done", is_done), KeyValue::new("remote", is_remote)];
         self.change_ms.record(time_ms as f64, &labels);
     }
 
-    /// Notes the configuration in force.
+    /// Records the version of the configuration in force.
     pub(crate) fn config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
-    /// All metrics as text, with what is counted elsewhere.
+    /// Returns all metrics as text, including the values that are counted elsewhere; an empty text
+    /// if the encoding fails.
     pub(crate) fn to_text(&self, counted: Counted) -> String {
         self.store_calls.record(counted.store_calls, &[]);
         self.log_drops.record(counted.log_drops as u64, &[]);
@@ -128,7 +129,7 @@
         }
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            tracing::warn!(%error, "metrics: They cannot be written as text.");
+            tracing::warn!(%error, "metrics: The metrics cannot be encoded as text.");
             text.clear();
         }
         String::from_utf8(text).unwrap_or_default()
--- a/crates/trestle-entry/src/notices.rs
+++ b/crates/trestle-entry/src/notices.rs
@@ -1,4 +1,4 @@
-//! Takes what endpoints say of themselves in the heads of their answers.
+//! Processes the signals that endpoints put into the headers of their answers.
 
 use crate::{daemon::Daemon, net::exchange};
 use http::{Response, StatusCode};
@@ -7,10 +7,10 @@
     endpoint::Endpoint,
 };
 
-/// Stands in logs for the id of a request where an order or a report was answered.
+/// Stands in log lines for the request id where the answer was to an order or a report request.
 const ORDER_ID: &str = "order";
 
-/// Takes what the answer to a request says of its endpoint. The request left at `sent_ms`.
+/// Processes the signals in the answer to a request, which was sent at `sent_ms`.
 pub(crate) fn hear<B>(
     daemon: &Daemon,
     endpoint: &Endpoint,
@@ -24,8 +24,8 @@
     take(daemon, endpoint, Answer { notice: &notice, is_success, id, sent_ms });
 }
 
-/// Takes what the answer to a call of control says of its endpoint. That it says nothing means
-/// nothing: it is no request.
+/// Processes the signals in the answer to an order or a report request. The absence of signals
+/// there has no meaning, since no request was served.
 pub(crate) fn hear_call(daemon: &Daemon, endpoint: &Endpoint, answer: &exchange::Answer) {
     let Ok(status) = StatusCode::from_u16(answer.status) else { return };
     let notice = (daemon.wire.head.read_notice)(status, &answer.headers);
@@ -50,18 +50,18 @@
     match news {
         Heard::Limit { per_ks } => {
             let limit_per_s = *per_ks as f64 / 1e3;
-            tracing::info!(%endpoint, born_ms, limit_per_s, heard_in = id, "endpoint: It names a limit.");
+            tracing::info!(%endpoint, born_ms, limit_per_s, heard_in = id, "endpoint: The endpoint reports a limit.");
         }
         Heard::Leaves => {
-            tracing::info!(%endpoint, born_ms, heard_in = id, "endpoint: It says that it leaves.");
+            tracing::info!(%endpoint, born_ms, heard_in = id, "endpoint: The endpoint reports that it is draining.");
         }
         Heard::Rest { for_ms } => {
-            tracing::info!(%endpoint, born_ms, for_ms, heard_in = id, "endpoint: It asks for rest.");
+            tracing::info!(%endpoint, born_ms, for_ms, heard_in = id, "endpoint: The endpoint requests a backoff.");
         }
         Heard::Unreadable { what, text } => {
             tracing::warn!(
                 %endpoint, born_ms, what, text, heard_in = id,
-                "endpoint: What it says cannot be read, and counts for nothing."
+                "endpoint: A signal in an answer cannot be parsed; it is ignored."
             );
         }
     }
--- a/crates/trestle-entry/src/peer/calls.rs
+++ b/crates/trestle-entry/src/peer/calls.rs
@@ -1,5 +1,5 @@
-//! Short questions to leaders, each answered at once, beside the one that [`super::sync`] keeps
-//! open.
+//! Short calls to leaders that are answered at once. The sync request, which a leader may hold
+//! open, is in [`super::sync`].
 
 use crate::{
     control::message::{Leader, Message},
@@ -15,11 +15,11 @@
 use tarpc::{client::RpcError, context::Context};
 use trestle_wire::replicas::ReplicasClient;
 
-/// Time for an answer. One that comes later helps no caller of a short objective.
+/// Time limit for an answer. A later one is of no use to callers with a short objective.
 const ANSWER_MS: u64 = 250;
-/// Leaders that a daemon asks in a row before it gives a question up.
+/// Number of leaders that are tried before a call is given up.
 const LEADERS_TRIED: usize = 2;
-/// Connections that are kept: leaders of all groups, and some that were.
+/// Most open connections: to the leaders of all groups, and to some former leaders.
 const MOST_OPEN: usize = 16;
 
 /// Open connections to leaders.
@@ -29,8 +29,8 @@
 }
 
 impl LeaderCalls {
-    /// Makes a call to an address; `None` if it is not answered in time. A connection over which
-    /// one was not is not used again.
+    /// Makes a call to an address. Returns `None` if it is not answered in time; a connection on
+    /// which a call failed is not used again.
     pub(crate) async fn call<T, A>(
         &self,
         address: SocketAddr,
@@ -47,7 +47,7 @@
         answer.ok()
     }
 
-    /// The connection to an address, opened if there is none.
+    /// Returns the connection to an address, and opens it if there is none.
     async fn client(&self, address: SocketAddr) -> io::Result<ReplicasClient> {
         if let Some(client) = self.open().get(&address) {
             return Ok(client.clone());
@@ -66,7 +66,7 @@
     }
 }
 
-/// What this daemon's leader answers, or another one if that does not.
+/// Returns the answer of this daemon's leader, or of another leader if that one gives none.
 pub(crate) async fn first_answer<T, A>(daemon: &Daemon, ask: impl Fn(Leader) -> A) -> Option<T>
 where
     A: Future<Output = Option<T>>,
@@ -80,14 +80,14 @@
     None
 }
 
-/// The leader that this daemon asks, after so many that did not answer.
+/// Returns the leader that this daemon queries after a number of leaders that did not answer.
 pub(crate) async fn leader(daemon: &Daemon, attempt: usize) -> Leader {
     let leader = daemon.ask(|reply| Message::Leader { attempt, reply }).await;
     leader.unwrap_or(Leader::Nobody)
 }
 
-/// The leader that decides for all daemons on what has this name, and since when, if another one
-/// may have before.
+/// Returns the leader that makes the decisions on a name for all daemons, and since when if
+/// another leader may have made them before.
 pub(crate) async fn leader_for(daemon: &Daemon, name: String) -> (Leader, Option<u64>) {
     let leader = daemon.ask(|reply| Message::LeaderFor { name, reply }).await;
     leader.unwrap_or((Leader::Nobody, None))
--- a/crates/trestle-entry/src/peer/client.rs
+++ b/crates/trestle-entry/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The connection to the leader.
+//! The connection to a leader.
 
 use crate::net::connect;
 use async_compat::{Compat, CompatExt};
@@ -17,12 +17,12 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use trestle_wire::replicas::{ReplicasClient, WireAsking, WireSynced};
 
-/// Time for opening a connection.
+/// Time limit for opening a connection.
 const CONNECT_MS: u64 = 300;
-/// Time for an answer, which is given at once; a slowed VM takes several times as long.
+/// Time limit for an answer. It is given at once; a slowed VM takes several times as long.
 const ANSWER_MS: u64 = 600;
 
-/// A question that was not answered.
+/// The sync request was not answered.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
     #[snafu(display("{address} cannot be reached: {source}"))]
@@ -31,18 +31,18 @@
     Rpc { address: SocketAddr, source: RpcError },
 }
 
-/// The connection to the leader.
+/// The connection to a leader.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderClient {
     open: Option<(SocketAddr, ReplicasClient)>,
 }
 
 impl LeaderClient {
-    /// Tells the leader at an address what callers ask for.
+    /// Sends a sync request to the leader at an address.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer in time.
+    /// Fails if the leader cannot be reached or does not answer in time.
     pub(crate) async fn sync(
         &mut self,
         address: SocketAddr,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The context of a call that must be answered within a time.
+/// Returns the context of a call that must be answered within a time.
 pub(crate) fn context_for(answer_ms: u64) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + Duration::from_millis(answer_ms);
@@ -76,7 +76,7 @@
     let client::NewClient { client, dispatch } =
         ReplicasClient::new(client::Config::default(), transport);
     let dispatch = async {
-        // An error here ends every pending call, and each of them reports it.
+        // An error here fails all pending calls, and each of them reports it.
         let _ = dispatch.await;
     };
     smol::spawn(Compat::new(dispatch)).detach();
--- a/crates/trestle-entry/src/peer/leaders.rs
+++ b/crates/trestle-entry/src/peer/leaders.rs
@@ -1,4 +1,4 @@
-//! What leaders tell each other, while this daemon is one of them.
+//! Sync requests from this daemon, while it leads, to other leaders.
 
 use crate::{
     control::message::Message, crashes::CrashExchange, daemon::Daemon, peer::client::LeaderClient,
@@ -8,17 +8,18 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 use trestle_core::names::DomainName;
 
-/// Between two looks at who leads.
+/// Time between two checks of who leads.
 const LOOK_MS: u64 = 200;
-/// Between two tellings while nothing waits for another leader. Loads of its engines are so
-/// old at most, and as much older as a daemon's pause.
+/// Time between two requests to a leader while nothing here waits for it. Reported loads of its
+/// engines are at most that old, plus the pause of the daemon that reads them.
 const CALM_MS: u64 = 150;
-/// Shortest time between two tellings.
+/// Shortest time between two requests to a leader.
 const LEAST_MS: u64 = 40;
 
-/// Tells other leaders, and hears them, until the process ends.
+/// Exchanges sync requests with other leaders until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
-    // One that took its lease anew has forgotten what it was told, also at the same address.
+    // A leader that has acquired its lease again has lost what was reported to it, even at the
+    // same address.
     let mut tasks: BTreeMap<(SocketAddr, u64), Task<()>> = BTreeMap::new();
     loop {
         let others = daemon.ask(Message::OtherLeaders).await.unwrap_or_default();
@@ -36,7 +37,7 @@
     let mut client = LeaderClient::default();
     let mut exchange = CrashExchange::default();
     loop {
-        // What is told now is heard of by this.
+        // The next request covers everything marked until now.
         daemon.knowledge.must_hear(address);
         let ask = |reply| Message::AskOther { address, group: group.clone(), reply };
         let Some((mut asking, is_new)) = daemon.ask(ask).await else { return };
@@ -44,7 +45,7 @@
         let waits = asking.digests.iter().any(|digest| !digest.waiting.is_empty());
         let answered = async { Some(client.sync(address, asking).await) };
         let interrupted = async {
-            // A question with a new wish is answered soon, and its answer must be heard.
+            // A request with new demand is answered soon, and the answer must not be lost.
             if is_new {
                 future::pending::<()>().await;
             }
@@ -54,7 +55,7 @@
         };
         let Some(mut answer) = answered.or(interrupted).await else { continue };
         if let Err(error) = &answer {
-            tracing::debug!(%error, "sync: Another leader does not answer.");
+            tracing::debug!(%error, "sync: Another leader did not answer.");
         }
         if let Some(synced) = answer.as_mut().ok().filter(|synced| synced.is_leader) {
             exchange.answered(&daemon, synced.refused.take());
@@ -71,7 +72,7 @@
     }
 }
 
-/// Waits until a leader must hear of a wish.
+/// Waits until demand must be reported to a leader.
 async fn urgent(daemon: &Daemon, address: SocketAddr) {
     loop {
         let forwarded = daemon.knowledge.forwarded();
--- a/crates/trestle-entry/src/peer/mod.rs
+++ b/crates/trestle-entry/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! Communication between daemons.
 
 pub(crate) mod calls;
 pub(crate) mod client;
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Serves other daemons.
+//! The server for other daemons.
 
 use crate::{
     control::message::Message, crashes, daemon::Daemon, departures, lending, places, trial,
@@ -22,10 +22,10 @@
     trials::{WireTrial, WireTrialAnswer},
 };
 
-/// Questions of one connection that are answered at the same time.
+/// Most requests of one connection that are handled at the same time.
 const MOST_ANSWERING: usize = 16;
 
-/// Serves other daemons until the process ends.
+/// Serves other daemons until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -37,17 +37,17 @@
 
 async fn serve(daemon: Arc<Daemon>, stream: TcpStream) {
     if let Err(error) = crate::net::connect::prepare(&stream) {
-        tracing::debug!(%error, "peer: A connection has the system's own options.");
+        tracing::debug!(%error, "peer: Socket options could not be set; the connection keeps the system's defaults.");
     }
     let framed = LengthDelimitedCodec::builder().new_framed(stream.compat());
     let transport = serde_transport::new(framed, Bincode::default());
     let requests = BaseChannel::with_defaults(transport).execute(Server(daemon).serve());
-    // Most daemons ask again only when they have their answer.
+    // Most daemons send their next request only after they have received an answer.
     let each = requests.for_each_concurrent(MOST_ANSWERING, |answering| answering);
     Compat::new(each).await;
 }
 
-/// Answers the questions of other daemons.
+/// The handler of other daemons' requests.
 #[derive(Clone)]
 struct Server(Arc<Daemon>);
 
@@ -57,7 +57,8 @@
         crashes::heard_wire(&self.0, std::mem::take(&mut asking.crashes));
         let synced = self.0.ask(|reply| Message::Sync { asking, reply }).await;
         let mut synced = synced.unwrap_or_default();
-        // That takes no lease: while nobody can renew one, daemons hear of each other's ends by this.
+        // This requires no lease: while no leader can renew its lease, daemons still learn of each
+        // other's crash reports this way.
         synced.refused = crashes::refused_after(&self.0, have.refused);
         // Leaders follow the store themselves.
         if synced.is_leader && !is_leader {
@@ -79,7 +80,7 @@
     }
 }
 
-/// What has changed in the store since what a daemon has.
+/// Returns the changes in the store since the position that a daemon has reported.
 fn relay(daemon: &Daemon, have: WireHave) -> WireRelay {
     let now_ms = daemon.knowledge.now_ms();
     let age_ms = daemon.freshness.age_ms(now_ms);
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -1,4 +1,4 @@
-//! Tells the leader what callers ask for, and learns where models are.
+//! Sync with the leader: reports the demand of callers, and receives where models are loaded.
 
 use crate::{
     control::message::{Leader, Message},
@@ -20,38 +20,40 @@
     replicas::{WireAsking, WireDigest, WireView},
 };
 
-/// Time for which what the leader said is believed after it fell silent. The list
-/// of endpoints has caught up by then.
+/// Time for which the leader's last report is used after it stopped answering. The list of
+/// endpoints has caught up by then.
 const BELIEVED_MS: u64 = 3_000;
-/// Time after which a daemon that asks another group's leader tries its own again.
+/// Time after which a daemon that queries another group's leader tries its own leader again.
 const TRY_OWN_MS: u64 = 2_000;
 
-/// What passes between this daemon and the leader that it asks.
+/// The state of the exchange between this daemon and the leaders that it queries.
 #[derive(Debug, Default)]
 struct Talk {
     client: LeaderClient,
-    /// The leader that has heard what this daemon remembers, by its fencing number.
+    /// The leader that has received the demand remembered by this daemon, by its fencing number.
     told: Option<(DomainName, u64)>,
-    /// Leaders in a row that did not answer.
+    /// Number of consecutive leaders that did not answer.
     attempt: usize,
-    /// Since when another group's leader has been asked.
+    /// Since when another group's leader has been queried; `None` while this daemon queries its
+    /// own.
     away_since_ms: Option<u64>,
-    /// What passes of requests under which endpoints ended, by group and its last leader's
-    /// fencing number. One that leads no more goes on with that.
+    /// Exchanges about requests under which endpoints crashed, by group and its last leader's
+    /// fencing number. The exchange continues with a leader that has stepped down.
     crashes: BTreeMap<DomainName, (u64, CrashExchange)>,
-    /// Copies of its logs, by service.
+    /// Copies of the leader's placement logs, by service.
     placements: BTreeMap<ServiceName, PlacementMirror>,
 }
 
-/// Tells and learns until the process ends.
+/// Exchanges sync requests with the leader until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let mut talk = Talk::default();
     let mut heard_ms = 0;
     let mut is_heard = false;
     loop {
         let urgent = daemon.knowledge.wished();
-        // A question about wishes that the leader knows waits there until one has arrived. Let a
-        // new one not wait behind it; but the answer about a new one must be heard.
+        // The leader holds a request about known demand until a requested model has arrived. New
+        // demand must not wait for that answer, so it aborts such a request; but the answer about
+        // new demand must not be lost.
         let has_new = has_unanswered(&daemon);
         let least_ms = pace(&daemon).least_ms();
         let step = async { Some(talk.step(&daemon).await) };
@@ -84,7 +86,7 @@
         let next_ms = match synced {
             true if is_waiting(&daemon) => least_ms,
             true => pace.calm_ms(),
-            // The leader may only have been slow, and what it has to say is due.
+            // The leader may only have been slow, and its report is due.
             false => pace.waiting_ms(),
         };
         let pause = async {
@@ -110,8 +112,8 @@
 }
 
 impl Talk {
-    /// Counts leaders that did not answer; one that stands in for this daemon's own is asked
-    /// for a while, and then its own again.
+    /// Counts consecutive leaders that did not answer. After a while with a substitute, this
+    /// daemon's own leader is tried again.
     fn note_outcome(&mut self, synced: bool, now_ms: u64) {
         if !synced {
             self.attempt += 1;
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Tells once; returns whether a leader answered.
+    /// Sends one sync request. Returns whether a leader answered.
     async fn step(&mut self, daemon: &Arc<Daemon>) -> bool {
         let asked_ms = daemon.knowledge.now_ms();
         let (answer, leader) = match calls::leader(daemon, self.attempt).await {
@@ -143,7 +145,7 @@
                 exchange.ask(daemon, &mut asking);
                 let answer = self.client.sync(address, asking).await;
                 if let Err(error) = &answer {
-                    tracing::debug!(%error, "sync: The leader does not answer.");
+                    tracing::debug!(%error, "sync: The leader did not answer.");
                 }
                 (answer.ok(), Some((group, token)))
             }
@@ -187,7 +189,8 @@
         }
     }
 
-    /// What this daemon already has of the store, and of the leader's logs.
+    /// Returns the positions that this daemon has reached in the store's tables and in the
+    /// leader's placement logs.
     fn have(&self, daemon: &Daemon, departures: bool) -> WireHave {
         let placements = self.placements.iter();
         let placements =
@@ -239,13 +242,13 @@
     }
 }
 
-/// Takes what the leader passes on of the store. News are taken whatever their age; whether the
-/// store must be followed here depends on it. An answer says how old its news were when it was
-/// made, which was after it was asked for.
+/// Applies the changes of the store that the leader relays. Changes are applied whatever their
+/// age; whether this daemon must follow the store itself depends on it. The age in an answer
+/// refers to the time at which the answer was made, which was after the request.
 fn take_relay(daemon: &Daemon, relay: WireRelay, asked_ms: u64) {
     departures::heard_wire(daemon, relay.departures);
     let taken = relay.config.is_none_or(|news| config::take_passed_on(daemon, &news.into()));
-    // The sender's proof was so old when it answered, which was after it was asked.
+    // The age refers to the time of the answer, which was after the request.
     if let Some(age_ms) = relay.config_age_ms.filter(|_| taken) {
         daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
     }
--- a/crates/trestle-entry/src/places.rs
+++ b/crates/trestle-entry/src/places.rs
@@ -1,5 +1,5 @@
-//! Places at endpoints that have named limits: daemons ask the leader of the endpoint's group for
-//! one, each for one request.
+//! Send permits for endpoints that have reported limits. Daemons request one from the leader of
+//! the endpoint's group for each request.
 
 use crate::{
     control::message::{Leader, Message},
@@ -17,8 +17,8 @@
     replicas::ReplicasClient,
 };
 
-/// Asks for a place at an endpoint; returns until when it can be used. Where there is none, the
-/// daemon knows why when this returns.
+/// Requests a send permit for an endpoint. Returns until when the permit is valid. If none is
+/// granted, the reason has been recorded in the local view before this returns.
 pub(crate) async fn ask(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
     let asked_ms = daemon.knowledge.now_ms();
     let life = endpoint.life();
@@ -35,7 +35,7 @@
     };
     let place = borrow(daemon, asking).await;
     let now_ms = daemon.knowledge.now_ms();
-    tracing::debug!(id, endpoint = %life.name, ?place, "endpoint: A place was asked for.");
+    tracing::debug!(id, endpoint = %life.name, ?place, "endpoint: A send permit was requested.");
     let change = |beliefs: &mut trestle_dispatch::beliefs::Beliefs| {
         let backpressure = &mut beliefs.backpressure;
         match place {
@@ -47,17 +47,17 @@
         false
     };
     if daemon.knowledge.with(change) {
-        tracing::info!(endpoint = %life.name, "endpoint: It names no limit any more.");
+        tracing::info!(endpoint = %life.name, "endpoint: The endpoint no longer reports a limit.");
     }
     (place == WirePlace::Lent).then_some(asked_ms + PLACE_VALID_MS)
 }
 
-/// Asks the leader of an endpoint's group, where this daemon knows it, or else has its own leader
-/// pass the question on.
+/// Asks the leader of an endpoint's group. If this daemon does not know that leader, its own
+/// leader passes the request on.
 async fn borrow(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
     match leader_of(daemon, &asking.group).await {
         Leader::At { address, .. } => borrow_at(daemon, address, asking).await,
-        // It may also have led until a moment ago.
+        // This daemon may have led until a moment ago.
         Leader::Here { .. } => lend_here(daemon, &asking),
         Leader::Nobody => match calls::leader(daemon, 0).await {
             Leader::At { address, .. } => borrow_at(daemon, address, asking).await,
@@ -77,8 +77,8 @@
     daemon.calls.call(address, ask).await.unwrap_or(WirePlace::NotLending)
 }
 
-/// Answers another daemon: by itself, if it leads the endpoint's group, or with what the leader of
-/// that answers.
+/// Answers a request of another daemon: decides if this daemon leads the endpoint's group, and
+/// otherwise returns the answer of the leader that does.
 pub(crate) async fn lend(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
     let place = lend_here(daemon, &asking);
     if place != WirePlace::NotLending || asking.is_passed_on {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Decides on a place, as of the lease that this daemon holds at this moment.
+/// Decides on a send permit by the lease that this daemon holds at this moment.
 fn lend_here(daemon: &Daemon, asking: &WirePlaceAsking) -> WirePlace {
     let group = DomainName::from(asking.group.as_str());
     let life = Life { name: asking.endpoint.as_str().into(), born_ms: asking.born_ms };
--- a/crates/trestle-entry/src/settings_watch.rs
+++ b/crates/trestle-entry/src/settings_watch.rs
@@ -1,8 +1,8 @@
 //! Settings that change while the daemon runs.
 //!
-//! The file is read again on a signal, and looked at from time to time, since it
-//! may change without one. Bounds are taken over at once; names, addresses, ports
-//! and logs stay as they were at the start.
+//! The file is read again on a signal, and checked periodically, since it may change without a
+//! signal. Changed bounds apply at once; names, addresses, ports and logs remain as they were at
+//! the start.
 
 use crate::daemon::Daemon;
 use smol::Timer;
@@ -14,26 +14,26 @@
 };
 use trestle_config::SettingsFile;
 
-/// Between two looks at the file. A look takes some 20 us; operators expect a change
-/// within seconds.
+/// Time between two checks of the file. A check takes some 20 us; operators expect a change to
+/// apply within seconds.
 const LOOK_MS: u64 = 1_000;
 
 /// The settings file of a running daemon.
 #[derive(Debug)]
 pub(crate) struct SettingsWatch {
     path: PathBuf,
-    /// The text at the last look; none if it could not be read.
+    /// The text at the last check; `None` if it could not be read.
     text: Mutex<Option<String>>,
 }
 
 impl SettingsWatch {
-    /// The file that the daemon was started with.
+    /// Returns a watch on the file that the daemon was started with.
     pub(crate) fn new(path: PathBuf) -> Self {
         let text = fs::read_to_string(&path).ok();
         Self { path, text: Mutex::new(text) }
     }
 
-    /// Looks at the file until the process ends.
+    /// Checks the file until the process terminates.
     pub(crate) async fn run(self: Arc<Self>, daemon: Arc<Daemon>) {
         loop {
             Timer::after(Duration::from_millis(LOOK_MS)).await;
@@ -43,9 +43,10 @@
         }
     }
 
-    /// Reads the settings again; what can change while the daemon runs is taken over.
+    /// Reads the settings again, and applies those that can change while the daemon runs.
     pub(crate) fn reread(&self, daemon: &Daemon) {
-        // A look that comes at the same time need not read them once more.
+        // This updates the stored text, so that the periodic check does not read the settings once
+        // more.
         self.has_changed();
         let settings = match trestle_config::read_settings(&self.path) {
             Ok(SettingsFile::Entry(settings)) => settings,
@@ -69,11 +70,12 @@
         tracing::info!(?bounds, needs_restart, "settings: Read again; bounds are in force.");
     }
 
-    /// Whether the file differs from the last look; small enough to be read in place.
+    /// Returns whether the file differs from the last check. It is small enough to be read
+    /// synchronously.
     fn has_changed(&self) -> bool {
         let now = match fs::read_to_string(&self.path) {
             Ok(text) => Some(text),
-            // It may be missing for a moment while it is replaced.
+            // The file may be missing for a moment while it is replaced.
             Err(error) if error.kind() == io::ErrorKind::NotFound => return false,
             Err(_) => None,
         };
--- a/crates/trestle-entry/src/stop.rs
+++ b/crates/trestle-entry/src/stop.rs
@@ -1,8 +1,8 @@
-//! Signals: planned stops, and settings that have changed.
+//! Signals: planned stops and changed settings.
 //!
-//! A stop first says that the daemon is not ready, so that the balancer sends it
-//! nothing new. Meanwhile everything that comes is served. Then connections end as
-//! their requests do, and last the lease on orders is given up.
+//! A stop first reports the daemon as not ready, so that the balancer sends it no new connections.
+//! Until that takes effect, every request is served. Then connections are closed as their requests
+//! end, and finally the leases are released.
 
 use crate::{
     control::message::Message, daemon::Daemon, stopping::NOTICE_MS, traffic::serve::Closing,
@@ -16,12 +16,12 @@
     time::Duration,
 };
 
-/// Time for giving up the lease; the store may be away.
+/// Time limit for the release of the leases; the store may be unreachable.
 const LEAVE_MS: u64 = 1_500;
-/// Time between two looks whether everything has ended.
+/// Time between two checks whether all connections are closed.
 const LOOK_MS: u64 = 20;
 
-/// Serves until the daemon is told to stop, and stops.
+/// Serves until a stop signal, then stops.
 ///
 /// # Errors
 ///
@@ -45,8 +45,8 @@
     daemon.stopping.begin(started_ms);
     Timer::after(Duration::from_millis(NOTICE_MS.saturating_sub(elapsed_ms()))).await;
     closing.close();
-    // Orders go on meanwhile, since nobody may give any for a while after the lease is
-    // given up, and this daemon's own requests still wait for models.
+    // Orders continue meanwhile, since for a while after the release of the leases no daemon may
+    // give any, and this daemon's own requests still wait for models.
     let drained_by_ms = daemon.stopping.limit_ms() - LEAVE_MS;
     let drained = async {
         while closing.open() > 0 && elapsed_ms() < drained_by_ms {
@@ -65,12 +65,12 @@
 
 async fn leave(daemon: &Daemon) {
     let left = async {
-        // Without a control thread there is no lease to give up.
+        // Without a control thread there is no lease to release.
         let _ = daemon.ask(Message::Stop).await;
     };
     let timed_out = async {
         Timer::after(Duration::from_millis(LEAVE_MS)).await;
-        tracing::warn!("stop: The lease could not be given up; it will run out.");
+        tracing::warn!("stop: The leases could not be released in time; they will expire.");
     };
     left.or(timed_out).await;
 }
--- a/crates/trestle-entry/src/stopping.rs
+++ b/crates/trestle-entry/src/stopping.rs
@@ -1,61 +1,61 @@
-//! What a daemon that was told to stop still takes.
+//! Which requests a daemon still accepts after a stop signal.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use trestle_config::entry_settings::Bounds;
 
-/// Time in which the balancer notices: it asks once a second and believes the second
-/// answer.
+/// Time in which the balancer notices that the daemon is not ready: it asks once a second and acts
+/// on the second answer.
 pub(crate) const NOTICE_MS: u64 = 2_600;
-/// Time that is kept for requests that have been sent: most streams end within it.
+/// Time reserved for requests that have been sent to an endpoint; most streams end within it.
 const RUN_MS: u64 = 2_500;
-/// Part of the time for a stop that is left unused, so that the end comes by itself.
+/// Unused part of the time for a stop, so that the process terminates on its own.
 const SPARE_MS: u64 = 300;
 
-/// Whether and since when the daemon is stopping.
+/// Whether the daemon is stopping, and since when.
 #[derive(Debug)]
 pub(crate) struct Stopping {
-    /// 0 before.
+    /// The time of the stop signal; 0 before it.
     since_ms: AtomicU64,
     limit_ms: AtomicU64,
 }
 
 impl Stopping {
-    /// The daemon has not been told to stop.
+    /// Returns the state before a stop signal.
     pub(crate) fn new(bounds: &Bounds) -> Self {
         Self { since_ms: AtomicU64::new(0), limit_ms: AtomicU64::new(limit_ms(bounds)) }
     }
 
-    /// Puts changed bounds in force.
+    /// Applies changed bounds from the settings.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
         self.limit_ms.store(limit_ms(bounds), Ordering::SeqCst);
     }
 
-    /// Notes that the daemon was told to stop.
+    /// Records a stop signal.
     pub(crate) fn begin(&self, now_ms: u64) {
         self.since_ms.store(now_ms.max(1), Ordering::SeqCst);
     }
 
-    /// Whether the daemon was told to stop.
+    /// Returns whether there was a stop signal.
     pub(crate) fn has_begun(&self) -> bool {
         self.since_ms() > 0
     }
 
-    /// Time from the signal until the daemon ends, whatever is left.
+    /// Returns the time from the signal until the daemon terminates, even with open requests.
     pub(crate) fn limit_ms(&self) -> u64 {
         self.limit_ms.load(Ordering::SeqCst)
     }
 
-    /// Whether a request that may take so long can still be taken.
+    /// Returns whether a request can be accepted that may take up to `allowed_ms`.
     ///
-    /// Everything is taken while the balancer has not noticed; what comes later must
-    /// be over before the stop is.
+    /// Every request is accepted until the balancer has noticed the stop; a later one must be
+    /// finished before the stop is.
     pub(crate) fn can_take(&self, now_ms: u64, allowed_ms: u64) -> bool {
         let since_ms = self.since_ms();
         let is_noticed = since_ms > 0 && now_ms > since_ms + NOTICE_MS;
         !is_noticed || now_ms + allowed_ms < since_ms + self.limit_ms()
     }
 
-    /// Whether a request that has not been sent to an endpoint can still be.
+    /// Returns whether a request that has not been sent to an endpoint can still be sent.
     pub(crate) fn can_begin(&self, now_ms: u64) -> bool {
         let since_ms = self.since_ms();
         since_ms == 0 || now_ms < since_ms + self.limit_ms().saturating_sub(RUN_MS)
--- a/crates/trestle-entry/src/tidy.rs
+++ b/crates/trestle-entry/src/tidy.rs
@@ -1,4 +1,4 @@
-//! What is done from time to time.
+//! Periodic cleanup.
 
 use crate::daemon::Daemon;
 use smol::Timer;
@@ -9,13 +9,13 @@
 };
 use trestle_dispatch::endpoint::{Endpoint, Life};
 
-/// Between two rounds.
+/// Time between two rounds.
 const EVERY_MS: u64 = 500;
 
-/// Time by which the two clocks may part without the VM's having been suspended.
+/// Shortest difference between the two clocks that counts as a suspension of the VM.
 const NOTICED_MS: u64 = 100;
 
-/// Drops what is no longer needed, until the process ends.
+/// Removes state that is no longer needed, until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     loop {
         let (began_ms, began) = (daemon.knowledge.now_ms(), Instant::now());
@@ -24,11 +24,11 @@
         let counted_ms = began.elapsed().as_millis() as u64;
         let suspended_ms = (now_ms - began_ms).saturating_sub(counted_ms);
         if suspended_ms > NOTICED_MS {
-            tracing::warn!(suspended_ms, "daemon: Its VM was suspended.");
+            tracing::warn!(suspended_ms, "daemon: The VM was suspended.");
         }
         let lapsed = daemon.knowledge.with(|beliefs| beliefs.directory.tick(now_ms));
         for name in &lapsed {
-            tracing::info!(endpoint = %name, "endpoint: Did not come back; it counts as gone.");
+            tracing::info!(endpoint = %name, "endpoint: The endpoint did not return; it counts as gone.");
         }
         let live: BTreeSet<Life> =
             daemon.knowledge.with(|beliefs| beliefs.directory.iter().map(Endpoint::life).collect());
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -1,5 +1,5 @@
-//! Asks whether an attempt of a request that ended endpoints may run, and decides on it where
-//! this daemon leads.
+//! Asks a leader whether a request that may have crashed endpoints may run, and decides on it
+//! where this daemon leads.
 
 use crate::{broken, control::message::Leader, daemon::Daemon, peer::calls};
 use smol::Timer;
@@ -15,37 +15,38 @@
     trials::{WireTrial, WireTrialAnswer},
 };
 
-/// Said to callers while no leader can be asked: about the time that a new one takes.
+/// Retry time given to callers while no leader can be reached: about the time until there is a new
+/// leader.
 const NO_LEADER_MS: u64 = 1_000;
 
-/// Whether one request has been allowed to run although endpoints may have ended under it.
+/// The permission of one request to run although endpoints may have crashed under it.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
     begun: Mutex<Option<Begun>>,
 }
 
-/// An attempt that was allowed. When it is dropped, others may run if no endpoint can end under
-/// it any more; else they stay away until an end would be known.
+/// A permitted attempt. When it is dropped, other attempts may run if no endpoint can crash under
+/// this one any more; otherwise they are held off until a crash would be known.
 #[derive(Debug)]
 struct Begun {
     daemon: Arc<Daemon>,
     request: Fingerprint,
     number: u64,
-    /// The endpoint that may still end under it.
+    /// The endpoint that may still crash under the attempt.
     at: Option<Endpoint>,
 }
 
 impl Trial {
-    /// Whether it may run.
+    /// Returns whether an attempt is permitted.
     pub(crate) fn is_begun(&self) -> bool {
         self.begun().is_some()
     }
 
-    /// Asks for it.
+    /// Asks a leader for permission.
     ///
     /// # Errors
     ///
-    /// Returns the time after which the caller should come back, in ms.
+    /// Returns the time after which the caller should retry, in ms.
     pub(crate) async fn begin(
         &self,
         daemon: &Arc<Daemon>,
@@ -54,9 +55,9 @@
         let number = daemon.next_number();
         let asked = ask(daemon, of_this_vm(daemon, request, number, false)).await;
         let is_known = daemon.knowledge.with(|beliefs| beliefs.crashes.must_be_tried(request));
-        tracing::info!(%request, answer = ?asked, is_known, "request: It may end endpoints; a leader was asked.");
+        tracing::info!(%request, answer = ?asked, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
         match asked {
-            // What is only in doubt is not refused for want of a leader.
+            // A request that is only suspected is not refused because no leader answers.
             WireTrialAnswer::Undecided if is_known => Err(NO_LEADER_MS),
             WireTrialAnswer::Runs | WireTrialAnswer::Undecided => {
                 let begun = Begun { daemon: Arc::clone(daemon), request, number, at: None };
@@ -67,21 +68,24 @@
         }
     }
 
-    /// Notes that the attempt leaves for an endpoint, which may end under it from now on.
+    /// Records that the attempt is being sent to an endpoint, which may crash under it from now
+    /// on.
     pub(crate) fn sent(&self, endpoint: &Endpoint) {
         if let Some(begun) = &mut *self.begun() {
             begun.at = Some(endpoint.clone());
         }
     }
 
-    /// Notes that the endpoint has not ended under it: it did not run there, or had an answer.
+    /// Records that the endpoint has not crashed under the attempt, because it did not run there
+    /// or was answered.
     pub(crate) fn settled(&self) {
         if let Some(begun) = &mut *self.begun() {
             begun.at = None;
         }
     }
 
-    /// Takes that it had no whole answer though it may have run; it has to ask again.
+    /// Records that the attempt may have run without a complete answer. The request needs a new
+    /// permission.
     pub(crate) fn unanswered(&self) {
         drop(self.begun().take());
     }
@@ -103,8 +107,8 @@
     }
 }
 
-/// Looks a moment later whether an endpoint has ended under a request whose answer nobody waited
-/// for.
+/// Checks after a delay whether an endpoint has crashed under a request whose answer was not
+/// awaited.
 async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint, request: Fingerprint) {
     Timer::after(Duration::from_millis(ENDS_WITHIN_MS)).await;
     broken::note(&daemon, &endpoint, Some(request));
@@ -116,7 +120,7 @@
     WireTrial { vm, request, number, has_ended, is_passed_on: false }
 }
 
-/// Asks this daemon's leader, or another one if that does not decide.
+/// Asks this daemon's leader, or another leader if that one does not decide.
 async fn ask(daemon: &Daemon, trial: WireTrial) -> WireTrialAnswer {
     let ask = async |leader: Leader| {
         let answer = match leader {
@@ -134,8 +138,8 @@
     daemon.calls.call(address, ask).await.unwrap_or(WireTrialAnswer::Undecided)
 }
 
-/// Decides on an attempt, or asks the leader that does: one for each request, whoever leads the
-/// daemon where it came.
+/// Decides on an attempt, or asks the leader that does. For each request one leader decides,
+/// whichever leader the receiving daemon queries.
 pub(crate) async fn decide(daemon: &Daemon, mut trial: WireTrial) -> WireTrialAnswer {
     let request = Fingerprint::from_bytes(trial.request);
     let (leader, since_ms) = calls::leader_for(daemon, request.to_string()).await;
--- a/crates/trestle-entry/src/wire.rs
+++ b/crates/trestle-entry/src/wire.rs
@@ -1,8 +1,8 @@
-//! What the daemon needs to be told about its surroundings.
+//! The formats of everything outside the daemon.
 //!
-//! The daemon knows decisions and connections; how a store, an engine or a
-//! caller spells things is given to it as plain functions. So the same daemon
-//! runs before any surroundings for which such functions exist.
+//! The daemon implements decisions and connections. The formats of a store, of engines and of
+//! callers are passed to it as plain functions, so the same daemon runs in any environment for
+//! which such functions exist.
 
 use http::{HeaderMap, Request, StatusCode};
 use trestle_core::names::EndpointName;
@@ -15,80 +15,82 @@
     store::{ConditionalWrite, Feed, RowPage, WriteOutcome},
 };
 
-/// A call, ready to be sent.
+/// A call that is ready to be sent.
 pub type Call = Request<Vec<u8>>;
 
-/// Why something from outside could not be read, for logs.
+/// The cause why external data could not be parsed, for log lines.
 pub type Unreadable = Box<dyn std::error::Error + Send + Sync>;
 
-/// How the surroundings spell things.
+/// The formats of the daemon's environment.
 #[derive(Debug, Clone, Copy)]
 pub struct Wire {
-    /// The store.
+    /// The formats of the store.
     pub store: StoreWire,
-    /// Endpoints.
+    /// The formats of endpoints.
     pub endpoint: EndpointWire,
-    /// Requests and answers.
+    /// The formats of requests and answers.
     pub head: HeadWire,
     /// The path at which the balancer asks whether the daemon is ready.
     pub readiness_path: &'static str,
 }
 
-/// How the store spells things.
+/// The names and formats of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreWire {
     /// The table and key of the operators' configuration.
     pub config_row: (&'static str, &'static str),
     /// The table of live endpoints, by name.
     pub endpoint_table: &'static str,
-    /// Reads a partition of a table, or what lies behind a key there.
+    /// Builds the call that reads a partition of a table; a key limits the read to the rows after
+    /// it.
     pub read_call: fn(&str, &str, Option<&str>) -> Call,
-    /// The answer to that.
+    /// Parses the answer to `read_call`.
     pub read_answer: fn(u16, &[u8]) -> Result<RowPage, Unreadable>,
-    /// Waits for changes of a table after a transaction, for a time in ms.
+    /// Builds the call that waits for changes of a table after a transaction, for a time in ms.
     pub follow_call: fn(&str, u64, u64) -> Call,
-    /// The answer to that.
+    /// Parses the answer to `follow_call`.
     pub follow_answer: fn(u16, &[u8]) -> Result<Feed, Unreadable>,
-    /// Writes under a condition.
+    /// Builds the call for a conditional write.
     pub write_call: fn(&ConditionalWrite) -> Call,
-    /// The answer to that.
+    /// Parses the answer to `write_call`.
     pub write_answer: fn(u16, &[u8]) -> WriteOutcome,
-    /// Reads a configuration.
+    /// Parses a configuration.
     pub read_config: fn(&[u8]) -> Result<Catalog, Unreadable>,
-    /// Reads the entry of the endpoint with a name.
+    /// Parses the entry of the endpoint with a name.
     pub read_endpoint: fn(&str, &[u8]) -> Result<Endpoint, Unreadable>,
 }
 
-/// How endpoints spell things.
+/// The formats of endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointWire {
-    /// Asks an engine for its report.
+    /// Builds the call that requests an engine's report.
     pub report_call: fn() -> Call,
-    /// The answer to that.
+    /// Parses the answer to `report_call`.
     pub report_answer: fn(u16, &[u8]) -> Result<EngineReport, Unreadable>,
-    /// Asks an endpoint, at its service's own path for that, who it is.
+    /// Builds the call, at the service's health path, that asks an endpoint for its name; `None`
+    /// if the path is not valid.
     pub identity_call: fn(&EndpointName, &str) -> Option<Call>,
-    /// The answer to that, if it names an endpoint.
+    /// Parses the answer to `identity_call`; `None` if it names no endpoint.
     pub identity_answer: fn(&HeaderMap) -> Option<EndpointName>,
-    /// Gives an order: endpoint, order, expected count, leader, fencing number.
+    /// Builds an order, from endpoint, order, expected count, leader and fencing number.
     pub order_call: fn(&EndpointName, &Order, u64, &str, u64) -> Call,
-    /// The answer to that.
+    /// Parses the answer to `order_call`.
     pub order_answer: fn(u16) -> OrderAnswer,
 }
 
-/// How requests and answers are spelled.
+/// The formats of requests and answers.
 #[derive(Debug, Clone, Copy)]
 pub struct HeadWire {
-    /// Reads a caller's request.
+    /// Parses the headers of a caller's request.
     pub read_request: fn(&HeaderMap) -> Option<RequestHead>,
-    /// Makes a caller's headers those for an endpoint.
+    /// Changes a caller's headers into those for an endpoint.
     pub forward_request: fn(&mut HeaderMap, &Forwarded<'_>),
-    /// Reads an endpoint's answer.
+    /// Parses the headers of an endpoint's answer.
     pub read_answer: fn(&HeaderMap) -> AnswerHead,
-    /// Reads what an endpoint says of itself in an answer with a status.
+    /// Parses an endpoint's signals from the status and headers of an answer.
     pub read_notice: fn(StatusCode, &HeaderMap) -> Notice,
-    /// Makes an endpoint's headers those for the caller.
+    /// Changes an endpoint's headers into those for the caller.
     pub forward_answer: fn(&mut HeaderMap),
-    /// Sets the headers of an answer of the daemon's own to a request with an id.
+    /// Sets the headers of the daemon's own answer to a request with an id.
     pub own_answer: fn(&mut HeaderMap, &str),
 }
