--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 use trestle_core::names::{DomainName, EndpointName, ServiceName};
 use trestle_dispatch::{
-    endpoint::Life,
+    endpoint::Incarnation,
     lease::{LeaseRow, LeaseWrite, Resignation},
     orders::OrderChain,
     store::WriteOutcome,
@@ -98,7 +98,7 @@
         /// The engine's service.
         service: ServiceName,
         /// The incarnation of the engine to which the orders were sent.
-        engine: Life,
+        engine: Incarnation,
         /// The orders, up to the last that was sent.
         chain: OrderChain,
     },
--- a/crates/trestle-entry/src/control/permit.rs
+++ b/crates/trestle-entry/src/control/permit.rs
@@ -8,7 +8,7 @@
     sync::{Mutex, PoisonError},
 };
 use trestle_core::names::DomainName;
-use trestle_dispatch::lender::HeldLease;
+use trestle_dispatch::quota_allocator::HeldLease;
 
 /// Assumed time until orders may be sent while a lease is not certain; a renewal takes about as
 /// long.
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -23,8 +23,8 @@
 use trestle_config::entry_settings::{Bounds, EntrySettings};
 use trestle_core::names::{EndpointName, ServiceName};
 use trestle_dispatch::{
-    allowance::Allowances, endpoint::Endpoint, endpoint_limits::EndpointLimits, lender::Lender,
-    order_log::OrderLog, policy::Policy, trials::Trials,
+    allowance::Allowances, endpoint::Endpoint, endpoint_limits::EndpointLimits,
+    order_log::OrderLog, policy::Policy, quota_allocator::QuotaAllocator, trials::Trials,
 };
 
 /// The state that all parts of the daemon share.
@@ -40,7 +40,7 @@
     pub(crate) order_permits: OrderPermits,
     order_log: Mutex<OrderLog>,
     trials: Mutex<Trials>,
-    lender: Mutex<Lender>,
+    quota_allocator: Mutex<QuotaAllocator>,
     endpoint_limits: Mutex<EndpointLimits>,
     allowances: Mutex<Allowances>,
     pub(crate) calls: LeaderCalls,
@@ -69,7 +69,7 @@
             order_permits: OrderPermits::default(),
             order_log: Mutex::default(),
             trials: Mutex::default(),
-            lender: Mutex::default(),
+            quota_allocator: Mutex::default(),
             endpoint_limits: Mutex::default(),
             allowances: Mutex::default(),
             calls: LeaderCalls::default(),
@@ -85,7 +85,9 @@
     /// Returns whether the balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
-            && self.knowledge.with(|beliefs| beliefs.catalog.is_some() && beliefs.is_listed)
+            && self
+                .knowledge
+                .with(|local_view| local_view.catalog.is_some() && local_view.is_list_read)
     }
 
     /// Applies changed bounds from the settings.
@@ -113,8 +115,8 @@
     }
 
     /// Calls a function with the allocator of team limits, which is used while this daemon leads.
-    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut Lender) -> R) -> R {
-        look(&mut self.lender.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
+        look(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Calls a function with the limits of endpoints on which this daemon decides while it leads.
@@ -129,28 +131,29 @@
 
     /// Returns the endpoints of a service that may receive new work.
     pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
-        self.knowledge.with(|beliefs| {
-            let usable = beliefs.directory.usable_shared(service).cloned();
+        self.knowledge.with(|local_view| {
+            let usable = local_view.directory.usable_shared(service).cloned();
             usable.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
         })
     }
 
     /// Returns whether the list still holds this incarnation of an endpoint.
     pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|beliefs| beliefs.directory.lists(&endpoint.life()))
+        self.knowledge.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
     }
 
     /// Returns whether the list still holds this incarnation of an endpoint, and it is not
     /// draining.
     pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|beliefs| beliefs.directory.is_usable(&endpoint.life()))
+        self.knowledge.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
     }
 
     /// Returns until when an endpoint has requested a backoff from this daemon; 0 if it has not.
     pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
-        let life = endpoint.life();
-        self.knowledge
-            .with(|beliefs| beliefs.backpressure.rest(&life).map_or(0, |rest| rest.until_ms))
+        let incarnation = endpoint.incarnation();
+        self.knowledge.with(|local_view| {
+            local_view.backpressure.backoff(&incarnation).map_or(0, |rest| rest.until_ms)
+        })
     }
 
     /// Returns a number that is unique in this process.
--- a/crates/trestle-entry/src/wire.rs
+++ b/crates/trestle-entry/src/wire.rs
@@ -9,9 +9,9 @@
 use trestle_dispatch::{
     catalog::Catalog,
     endpoint::{Endpoint, EngineReport},
-    notice::Notice,
     orders::{Order, OrderAnswer},
     request::{AnswerHead, Forwarded, RequestHead},
+    signals::EndpointSignals,
     store::{ConditionalWrite, Feed, RowPage, WriteOutcome},
 };
 
@@ -88,7 +88,7 @@
     /// Parses the headers of an endpoint's answer.
     pub read_answer: fn(&HeaderMap) -> AnswerHead,
     /// Parses an endpoint's signals from the status and headers of an answer.
-    pub read_notice: fn(StatusCode, &HeaderMap) -> Notice,
+    pub read_notice: fn(StatusCode, &HeaderMap) -> EndpointSignals,
     /// Changes an endpoint's headers into those for the caller.
     pub forward_answer: fn(&mut HeaderMap),
     /// Sets the headers of the daemon's own answer to a request with an id.
