--- a/crates/trestle-entry/src/lending.rs
+++ b/crates/trestle-entry/src/allocation.rs
@@ -20,14 +20,14 @@
 
 /// Why nothing was allocated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NotLent {
+pub(crate) enum AllocationError {
     /// The team has used up its limit.
-    SpentOut {
+    LimitReached {
         /// Time until enough units will be available again.
         in_ms: u64,
     },
     /// No leader could be reached.
-    NoLender,
+    NoAllocator,
 }
 
 /// Spends units of a team's limit. Returns until when the request must have been sent.
@@ -40,28 +40,28 @@
     team: &TeamName,
     limit: &TeamLimit,
     units: u64,
-) -> Result<u64, NotLent> {
-    let now_ms = daemon.knowledge.now_ms();
+) -> Result<u64, AllocationError> {
+    let now_ms = daemon.shared_view.now_ms();
     let at_hand = daemon.with_allowances(|allowances| {
         let spent = allowances.spend(team, units, now_ms);
         spent.ok_or_else(|| allowances.exhausted_for_ms(team, now_ms))
     });
     match at_hand {
         Ok(until_ms) => return Ok(until_ms),
-        Err(Some(in_ms)) => return Err(NotLent::SpentOut { in_ms }),
+        Err(Some(in_ms)) => return Err(AllocationError::LimitReached { in_ms }),
         Err(None) => {}
     }
     match borrow(daemon, team, units).await {
         WireLoan::Lent { .. } => {
-            let bounds = daemon.knowledge.with(|local_view| local_view.quota_bounds);
+            let bounds = daemon.shared_view.with(|local_view| local_view.quota_bounds);
             Ok(now_ms + bounds.valid_ms(limit))
         }
         WireLoan::Refused { in_ms } => {
-            let now_ms = daemon.knowledge.now_ms();
+            let now_ms = daemon.shared_view.now_ms();
             daemon.with_allowances(|allowances| allowances.refused(team, in_ms, now_ms));
-            Err(NotLent::SpentOut { in_ms })
+            Err(AllocationError::LimitReached { in_ms })
         }
-        WireLoan::NotLending => Err(NotLent::NoLender),
+        WireLoan::NotLending => Err(AllocationError::NoAllocator),
     }
 }
 
@@ -72,7 +72,7 @@
         let loan = match leader {
             Leader::At { address, .. } => borrow_at(daemon, address, borrowing.clone()).await,
             // This daemon may have led until a moment ago.
-            Leader::Here { .. } | Leader::Nobody => lend(daemon, borrowing.clone()).await,
+            Leader::Here { .. } | Leader::Nobody => allocate(daemon, borrowing.clone()).await,
         };
         Some(loan).filter(|loan| *loan != WireLoan::NotLending)
     };
@@ -85,7 +85,7 @@
 }
 
 /// Allocates units from what this daemon holds as a leader, or from what other leaders hold.
-pub(crate) async fn lend(daemon: &Daemon, borrowing: WireBorrowing) -> WireLoan {
+pub(crate) async fn allocate(daemon: &Daemon, borrowing: WireBorrowing) -> WireLoan {
     let team = TeamName::from(borrowing.team);
     let Some(limited) = Limited::of(daemon, &team) else { return WireLoan::NotLending };
     let units = borrowing.units;
@@ -143,7 +143,7 @@
     look: impl FnOnce(&mut QuotaAllocator, &QuotaPlan, u64) -> R,
 ) -> R {
     daemon.with_lender(|quota_allocator| {
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         quota_allocator.set_leases(&daemon.order_permits.held(now_ms), now_ms);
         let plan = quota_allocator.plan(&limited.limit, &limited.bounds);
         look(quota_allocator, &plan, now_ms)
@@ -159,7 +159,7 @@
 impl Limited {
     /// Returns the limit of a team; `None` if the team has none or is not configured.
     fn of(daemon: &Daemon, team: &TeamName) -> Option<Self> {
-        daemon.knowledge.with(|local_view| {
+        daemon.shared_view.with(|local_view| {
             let limit = local_view.catalog.as_ref()?.teams.get(team)?.limit?;
             Some(Self { limit, bounds: local_view.quota_bounds })
         })
--- a/crates/trestle-entry/src/tidy.rs
+++ b/crates/trestle-entry/src/cleanup.rs
@@ -18,22 +18,22 @@
 /// Removes state that is no longer needed, until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     loop {
-        let (began_ms, began) = (daemon.knowledge.now_ms(), Instant::now());
+        let (began_ms, began) = (daemon.shared_view.now_ms(), Instant::now());
         Timer::after(Duration::from_millis(EVERY_MS)).await;
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         let counted_ms = began.elapsed().as_millis() as u64;
         let suspended_ms = (now_ms - began_ms).saturating_sub(counted_ms);
         if suspended_ms > NOTICED_MS {
             tracing::warn!(suspended_ms, "daemon: The VM was suspended.");
         }
-        let lapsed = daemon.knowledge.with(|local_view| local_view.directory.drop_lapsed(now_ms));
+        let lapsed = daemon.shared_view.with(|local_view| local_view.directory.drop_lapsed(now_ms));
         for name in &lapsed {
             tracing::info!(endpoint = %name, "endpoint: The endpoint did not return; it counts as gone.");
         }
         let live: BTreeSet<Incarnation> = daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.directory.iter().map(Endpoint::incarnation).collect());
-        daemon.knowledge.with(|local_view| {
+        daemon.shared_view.with(|local_view| {
             local_view.backpressure.retain(|incarnation| live.contains(incarnation), now_ms);
         });
         daemon.with_endpoint_limits(|limits| limits.cleanup(now_ms));
--- a/crates/trestle-entry/src/broken.rs
+++ b/crates/trestle-entry/src/connection_loss.rs
@@ -42,11 +42,11 @@
 
 /// Records that a request's connection was lost. The first loss at an endpoint starts a task that
 /// finds out whether the endpoint has terminated; later ones start no further task.
-pub(crate) fn note(daemon: &Arc<Daemon>, endpoint: &Endpoint, request: Option<Fingerprint>) {
+pub(crate) fn record_lost(daemon: &Arc<Daemon>, endpoint: &Endpoint, request: Option<Fingerprint>) {
     let Some(request) = request else { return };
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let broke =
-        daemon.knowledge.with(|local_view| local_view.connection_lost(endpoint, request, now_ms));
+        daemon.shared_view.with(|local_view| local_view.connection_lost(endpoint, request, now_ms));
     match broke {
         Some(ConnectionLoss::CheckNeeded) => {
             smol::spawn(find_out(Arc::clone(daemon), endpoint.clone())).detach();
@@ -57,37 +57,38 @@
 }
 
 /// Records that the caller no longer waits for a request that still runs at an endpoint.
-pub(crate) fn note_left(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
-    let now_ms = daemon.knowledge.now_ms();
-    let has_ended =
-        daemon.knowledge.with(|local_view| local_view.request_abandoned(endpoint, request, now_ms));
+pub(crate) fn record_abandoned(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
+    let now_ms = daemon.shared_view.now_ms();
+    let has_ended = daemon
+        .shared_view
+        .with(|local_view| local_view.request_abandoned(endpoint, request, now_ms));
     if has_ended {
         note_late(daemon, &endpoint.incarnation(), request);
     }
 }
 
 /// Handles endpoints that the list shows to have terminated.
-pub(crate) fn note_gone(daemon: &Daemon) {
-    let gone = daemon.knowledge.with(|local_view| local_view.terminated_by_list());
+pub(crate) fn handle_removed(daemon: &Daemon) {
+    let gone = daemon.shared_view.with(|local_view| local_view.terminated_by_list());
     for (incarnation, evidence) in &gone {
-        ended(daemon, incarnation, *evidence);
+        record_terminated(daemon, incarnation, *evidence);
     }
 }
 
 /// Handles an endpoint that is new at an address where others may have been.
-pub(crate) fn note_came(daemon: &Daemon, endpoint: &Endpoint) {
-    let replaced = daemon.knowledge.with(|local_view| local_view.replaced_by(endpoint));
+pub(crate) fn handle_new_endpoint(daemon: &Daemon, endpoint: &Endpoint) {
+    let replaced = daemon.shared_view.with(|local_view| local_view.replaced_by(endpoint));
     for incarnation in &replaced {
-        ended(daemon, incarnation, Evidence::Replaced);
+        record_terminated(daemon, incarnation, Evidence::Replaced);
     }
 }
 
 /// Records that an incarnation of an endpoint has terminated, and attributes a crash to the
 /// requests that were open there.
-pub(crate) fn ended(daemon: &Daemon, incarnation: &Incarnation, evidence: Evidence) {
-    let now_ms = daemon.knowledge.now_ms();
+pub(crate) fn record_terminated(daemon: &Daemon, incarnation: &Incarnation, evidence: Evidence) {
+    let now_ms = daemon.shared_view.now_ms();
     let requests = daemon
-        .knowledge
+        .shared_view
         .with(|local_view| local_view.incarnation_terminated(incarnation, evidence, now_ms));
     note_ended(daemon, incarnation, evidence.name(), &requests);
 }
@@ -99,12 +100,12 @@
     let mut seen = listens(&endpoint).await;
     loop {
         if let Seen::Ended(evidence) = seen {
-            ended(&daemon, &incarnation, evidence);
+            record_terminated(&daemon, &incarnation, evidence);
         }
         Timer::after(Duration::from_millis(pause_ms)).await;
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         if !daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.unresolved_requests.needs_check(&incarnation, now_ms))
         {
             return;
@@ -112,7 +113,7 @@
         seen = look(&daemon, &endpoint).await;
         match seen {
             Seen::Lives => {
-                daemon.knowledge.with(|local_view| {
+                daemon.shared_view.with(|local_view| {
                     local_view.unresolved_requests.confirmed_alive(&incarnation, now_ms)
                 });
                 tracing::info!(endpoint = %incarnation.name, born_ms = incarnation.started_unix_ms, "endpoint: The endpoint is alive; no request crashed it.");
@@ -137,7 +138,7 @@
 
 /// Checks which endpoint listens at an endpoint's address.
 async fn look(daemon: &Daemon, endpoint: &Endpoint) -> Seen {
-    let Some(catalog) = daemon.knowledge.catalog() else { return listens(endpoint).await };
+    let Some(catalog) = daemon.shared_view.catalog() else { return listens(endpoint).await };
     let Some(service) = catalog.services.get(&endpoint.service) else {
         return listens(endpoint).await;
     };
--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/answering.rs
@@ -93,7 +93,7 @@
         for (service, state) in &self.services {
             let telling = self.telling.entry(service.clone()).or_default();
             let others = &self.others;
-            self.daemon.knowledge.with(|local_view| {
+            self.daemon.shared_view.with(|local_view| {
                 let directory = &local_view.directory;
                 telling.refresh(Known { state, service, directory, others, led: &led, now_ms });
             });
@@ -120,7 +120,7 @@
                 models: pending.models(service),
             };
             let (others, led) = (&self.others, &led);
-            let mut view = self.daemon.knowledge.with(|local_view| {
+            let mut view = self.daemon.shared_view.with(|local_view| {
                 let directory = &local_view.directory;
                 telling.view(asker, Known { state, service, directory, others, led, now_ms })
             });
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -1,6 +1,6 @@
 //! Carries out one change at one engine, one order after another.
 
-use crate::{control::message::Message, daemon::Daemon, net::exchange::CallClient, notices};
+use crate::{control::message::Message, daemon::Daemon, net::exchange::CallClient, signals};
 use smol::Timer;
 use std::{sync::Arc, time::Duration};
 use trestle_core::names::ServiceName;
@@ -49,7 +49,7 @@
     mut chain: OrderChain,
 ) {
     let client = CallClient::new(endpoint.address);
-    let started_ms = daemon.knowledge.now_ms();
+    let started_ms = daemon.shared_view.now_ms();
     let limit_ms = change.done_at_ms + OVERTIME_MS;
     let failure = loop {
         let (next, not_before_ms) = chain.next();
@@ -57,13 +57,13 @@
         if rests_until_ms > limit_ms {
             break Some(RESTS.to_owned());
         }
-        let wait_ms = not_before_ms.max(rests_until_ms).saturating_sub(daemon.knowledge.now_ms());
+        let wait_ms = not_before_ms.max(rests_until_ms).saturating_sub(daemon.shared_view.now_ms());
         if wait_ms > 0 {
             Timer::after(Duration::from_millis(wait_ms)).await;
             // The engine may have requested a longer backoff meanwhile.
             continue;
         }
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         if now_ms > limit_ms {
             break Some("it took too long".to_owned());
         }
@@ -81,17 +81,17 @@
                 if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
                     break Some(STARTED_AGAIN.to_owned());
                 }
-                chain.reported(report.as_ref(), daemon.knowledge.now_ms());
+                chain.reported(report.as_ref(), daemon.shared_view.now_ms());
             }
             Next::Send(order, count) => {
                 let Some(answer) = give(&daemon, &client, &endpoint, &order, count).await else {
                     break Some("the lease has run out".to_owned());
                 };
-                chain.answered(answer, daemon.knowledge.now_ms());
+                chain.answered(answer, daemon.shared_view.now_ms());
             }
         }
     };
-    let took_ms = daemon.knowledge.now_ms() - started_ms;
+    let took_ms = daemon.shared_view.now_ms() - started_ms;
     let planned_ms = change.done_at_ms.saturating_sub(started_ms);
     let (name, model) = (&endpoint.name, &change.model);
     match &failure {
@@ -102,7 +102,7 @@
             tracing::warn!(endpoint = %name, %model, took_ms, planned_ms, failure, "order: A change failed.");
         }
     }
-    daemon.metrics.change(failure.is_none(), change.is_remote, took_ms);
+    daemon.metrics.record_change(failure.is_none(), change.is_remote, took_ms);
     daemon.tell(Message::ChangeEnded { service, engine: endpoint.incarnation(), chain });
 }
 
@@ -115,7 +115,7 @@
             return None;
         }
     };
-    notices::hear_call(daemon, endpoint, &answer);
+    signals::process_call(daemon, endpoint, &answer);
     match (daemon.wire.endpoint.report_answer)(answer.status, &answer.body) {
         Ok(report) => Some(report),
         Err(error) => {
@@ -134,7 +134,7 @@
     count: u64,
 ) -> Option<OrderAnswer> {
     let leader = &daemon.settings.vm;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let token = daemon.order_permits.token(&endpoint.domain, now_ms)?;
     if !daemon.with_order_log(|log| log.may_order(&endpoint.name, now_ms)) {
         return None;
@@ -143,7 +143,7 @@
     let call = (daemon.wire.endpoint.order_call)(&endpoint.name, order, count, leader, token);
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => {
-            notices::hear_call(daemon, endpoint, &answer);
+            signals::process_call(daemon, endpoint, &answer);
             (daemon.wire.endpoint.order_answer)(answer.status)
         }
         Err(error) => {
@@ -151,7 +151,7 @@
             OrderAnswer::Unknown
         }
     };
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     daemon.with_order_log(|log| log.ended(&endpoint.name, now_ms));
     tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: An order was sent.");
     Some(answer)
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -136,8 +136,8 @@
     fn note_read(&self) {
         let is_first =
             |local_view: &mut LocalView| !std::mem::replace(&mut local_view.are_leases_read, true);
-        if self.daemon.knowledge.with(is_first) {
-            self.daemon.knowledge.say_changed();
+        if self.daemon.shared_view.with(is_first) {
+            self.daemon.shared_view.notify_changed();
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     fn follow_groups(&mut self, now_ms: u64) {
-        let (domains, engines) = self.daemon.knowledge.with(|local_view| {
+        let (domains, engines) = self.daemon.shared_view.with(|local_view| {
             (local_view.directory.domains(), local_view.directory.iter().count())
         });
         self.groups.update(domains, engines, now_ms);
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -181,7 +181,7 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.daemon.knowledge.now_ms()
+        self.daemon.shared_view.now_ms()
     }
 }
 
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -41,7 +41,7 @@
 
     /// Forwards demand that other leaders serve to them at once; for use when no plan does so now.
     pub(super) fn share_out(&mut self, now_ms: u64) {
-        let Some(catalog) = self.daemon.knowledge.catalog() else { return };
+        let Some(catalog) = self.daemon.shared_view.catalog() else { return };
         let led = self.leases.led(now_ms);
         let mut groups = BTreeSet::new();
         for (service, known) in &mut self.services {
@@ -53,14 +53,14 @@
             known.share(spec, &own, now_ms);
             groups.extend(known.unplanned_elsewhere(now_ms));
         }
-        self.daemon.knowledge.forward(self.others.addresses(&groups));
+        self.daemon.shared_view.forward(self.others.addresses(&groups));
     }
 
     fn plan(&mut self, now_ms: u64) {
-        let Some(catalog) = self.daemon.knowledge.catalog() else { return };
+        let Some(catalog) = self.daemon.shared_view.catalog() else { return };
         let led = self.leases.led(now_ms);
         let orders_in_ms = self.orders_in_ms(&led, now_ms);
-        let policy = self.daemon.knowledge.with(|local_view| local_view.policy.clone());
+        let policy = self.daemon.shared_view.with(|local_view| local_view.policy.clone());
         let limited = self.daemon.with_endpoint_limits(|limits| limits.limited(now_ms));
         let mut groups = BTreeSet::new();
         for (service, known) in &mut self.services {
@@ -82,7 +82,7 @@
             }
             groups.extend(known.unplanned_elsewhere(now_ms));
         }
-        self.daemon.knowledge.forward(self.others.addresses(&groups));
+        self.daemon.shared_view.forward(self.others.addresses(&groups));
     }
 
     /// Returns the time until orders to the first of the groups may be sent.
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -33,9 +33,10 @@
 impl CrashExchange {
     /// Adds the changes that the leader has not acknowledged to a request.
     pub(crate) fn ask(&mut self, daemon: &Daemon, asking: &mut WireAsking) {
-        let now_ms = daemon.knowledge.now_ms();
-        let (news, number) =
-            daemon.knowledge.with(|local_view| local_view.crashes.changes_since(self.told, now_ms));
+        let now_ms = daemon.shared_view.now_ms();
+        let (news, number) = daemon
+            .shared_view
+            .with(|local_view| local_view.crashes.changes_since(self.told, now_ms));
         asking.crashes = news.into_iter().map(WireCrash::from).collect();
         asking.have.refused = self.heard;
         self.telling = number;
@@ -56,16 +57,16 @@
     if requests.is_empty() {
         return;
     }
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     for request in requests {
         if daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.crashes.record_crash(*request, incarnation, now_ms))
         {
             log_refused(*request);
         }
     }
-    daemon.knowledge.wish();
+    daemon.shared_view.notify_demand();
 }
 
 /// Records the reports of another daemon.
@@ -73,8 +74,8 @@
     if reports.is_empty() {
         return;
     }
-    let now_ms = daemon.knowledge.now_ms();
-    let (refused, taken_back) = daemon.knowledge.with(|local_view| {
+    let now_ms = daemon.shared_view.now_ms();
+    let (refused, taken_back) = daemon.shared_view.with(|local_view| {
         let is_refused = |report: &&CrashReport, crashes: &Crashes| {
             crashes.refused_for_ms(report.request, now_ms).is_some()
         };
@@ -89,7 +90,7 @@
     }
     if !refused.is_empty() {
         // Waiting requests that are refused now must be woken.
-        daemon.knowledge.say_changed();
+        daemon.shared_view.notify_changed();
         refused.into_iter().for_each(log_refused);
     }
 }
@@ -103,8 +104,8 @@
 /// Returns the refused requests for a requester that has received the changes up to `number`;
 /// `None` if there are no further ones.
 pub(crate) fn refused_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
-    let now_ms = daemon.knowledge.now_ms();
-    let (refused, number) = daemon.knowledge.with(|local_view| {
+    let now_ms = daemon.shared_view.now_ms();
+    let (refused, number) = daemon.shared_view.with(|local_view| {
         // Nearly all requesters are up to date, and each asks several times a second.
         let has_news = local_view.crashes.last_restricted_change() > number;
         has_news.then(|| local_view.crashes.restricted_reports(now_ms))
@@ -114,9 +115,9 @@
 
 /// Returns the refused requests, limited to what a lease row holds.
 pub(crate) fn refused_for_row(daemon: &Daemon) -> Vec<CrashReport> {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let (mut refused, _) =
-        daemon.knowledge.with(|local_view| local_view.crashes.restricted_reports(now_ms));
+        daemon.shared_view.with(|local_view| local_view.crashes.restricted_reports(now_ms));
     refused.retain(|report| report.crashes.len() >= MAX_CRASHES);
     refused.truncate(MOST_IN_ROW);
     refused
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -3,10 +3,10 @@
 use crate::{
     clock::Clock,
     control::{message::Message, permit::OrderPermits},
-    knowledge::Knowledge,
     metrics::Metrics,
     net::pool::Pool,
     peer::calls::LeaderCalls,
+    shared_view::SharedView,
     stopping::Stopping,
     store::{client::Store, freshness::Freshness},
     wire::Wire,
@@ -32,7 +32,7 @@
 pub(crate) struct Daemon {
     pub(crate) settings: EntrySettings,
     pub(crate) wire: Wire,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) shared_view: SharedView,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
@@ -61,7 +61,7 @@
     ) -> Self {
         let clock = Clock::start();
         Self {
-            knowledge: Knowledge::new(&settings, policy, clock),
+            shared_view: SharedView::new(&settings, policy, clock),
             store: Store::new(settings.store_address, wire.store, &settings.bounds),
             pool: Pool::new(clock),
             metrics,
@@ -86,13 +86,13 @@
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
             && self
-                .knowledge
+                .shared_view
                 .with(|local_view| local_view.catalog.is_some() && local_view.is_list_read)
     }
 
     /// Applies changed bounds from the settings.
     pub(crate) fn take_bounds(&self, bounds: &Bounds) {
-        self.knowledge.take_bounds(bounds);
+        self.shared_view.take_bounds(bounds);
         self.freshness.take_bounds(bounds);
         self.store.take_bounds(bounds);
         self.stopping.take_bounds(bounds);
@@ -131,7 +131,7 @@
 
     /// Returns the endpoints of a service that may receive new work.
     pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
-        self.knowledge.with(|local_view| {
+        self.shared_view.with(|local_view| {
             let usable = local_view.directory.usable_shared(service).cloned();
             usable.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
         })
@@ -139,19 +139,19 @@
 
     /// Returns whether the list still holds this incarnation of an endpoint.
     pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
+        self.shared_view.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
     }
 
     /// Returns whether the list still holds this incarnation of an endpoint, and it is not
     /// draining.
     pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
+        self.shared_view.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
     }
 
     /// Returns until when an endpoint has requested a backoff from this daemon; 0 if it has not.
     pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
         let incarnation = endpoint.incarnation();
-        self.knowledge.with(|local_view| {
+        self.shared_view.with(|local_view| {
             local_view.backpressure.backoff(&incarnation).map_or(0, |rest| rest.until_ms)
         })
     }
--- a/crates/trestle-entry/src/departures.rs
+++ b/crates/trestle-entry/src/departures.rs
@@ -19,8 +19,8 @@
 pub(crate) async fn wait_for_rows(daemon: &Daemon) {
     let read = async {
         loop {
-            let changed = daemon.knowledge.changed();
-            if daemon.knowledge.with(|local_view| local_view.are_leases_read) {
+            let changed = daemon.shared_view.changed();
+            if daemon.shared_view.with(|local_view| local_view.are_leases_read) {
                 return;
             }
             changed.await;
@@ -37,14 +37,14 @@
     if departures.is_empty() {
         return;
     }
-    let dropped = daemon.knowledge.with(|local_view| local_view.apply_departures(departures));
+    let dropped = daemon.shared_view.with(|local_view| local_view.apply_departures(departures));
     for name in &dropped {
         tracing::info!(
             endpoint = %name, "endpoint: Another daemon reported the endpoint as gone; its list entry is ignored."
         );
     }
     if !dropped.is_empty() {
-        daemon.knowledge.say_changed();
+        daemon.shared_view.notify_changed();
     }
 }
 
@@ -56,11 +56,12 @@
 
 /// Returns the departures, limited to what a lease row holds.
 pub(crate) fn for_row(daemon: &Daemon) -> Vec<Departure> {
-    daemon.knowledge.with(|local_view| local_view.directory.departures(MOST_IN_ROW))
+    daemon.shared_view.with(|local_view| local_view.directory.departures(MOST_IN_ROW))
 }
 
 /// Returns the departures for a daemon that sends its first request.
 pub(crate) fn for_new_asker(daemon: &Daemon) -> Vec<WireDeparture> {
-    let departures = daemon.knowledge.with(|local_view| local_view.directory.departures(MOST_TOLD));
+    let departures =
+        daemon.shared_view.with(|local_view| local_view.directory.departures(MOST_TOLD));
     departures.into_iter().map(WireDeparture::from).collect()
 }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -5,33 +5,33 @@
 //! in the store, and serves callers by its local view. For each group of engines one daemon at a
 //! time, by a lease in the store, gives orders to the engines.
 //!
-//! - [`traffic`] handles requests. It reads [`knowledge`] and changes only the records in it.
-//! - [`store`] follows the store, [`peer`] the leader; both change [`knowledge`].
+//! - [`traffic`] handles requests. It reads [`shared_view`] and changes only the records in it.
+//! - [`store`] follows the store, [`peer`] the leader; both change [`shared_view`].
 //! - [`control`] is one thread that holds the leases and plans changes at engines.
 //! - [`wire`] defines the formats of the store, endpoints and callers.
 //!
-//! Imports run from traffic, store, peer and control to `daemon`, `knowledge`, `broken` and `net`,
+//! Imports run from traffic, store, peer and control to `daemon`, `shared_view`, `connection_loss` and `net`,
 //! and from there to decisions.
 
-mod broken;
+mod allocation;
+mod cleanup;
 mod clock;
+mod connection_loss;
 mod control;
 mod crashes;
 mod daemon;
 mod departures;
-mod knowledge;
-mod lending;
 pub mod logs;
 mod metrics;
 mod net;
-mod notices;
 mod peer;
-mod places;
+mod send_permits;
 mod settings_watch;
+mod shared_view;
+mod signals;
 mod stop;
 mod stopping;
 mod store;
-mod tidy;
 mod traffic;
 mod trial;
 pub mod wire;
@@ -142,7 +142,7 @@
     smol::spawn(peer::server::run(Arc::clone(&daemon), peers)).detach();
     smol::spawn(peer::sync::run(Arc::clone(&daemon))).detach();
     smol::spawn(peer::leaders::run(Arc::clone(&daemon))).detach();
-    smol::spawn(tidy::run(Arc::clone(&daemon))).detach();
+    smol::spawn(cleanup::run(Arc::clone(&daemon))).detach();
     serve_readiness(&daemon, readiness);
     serve_metrics(&daemon, logs, metrics);
     let closing = serve_callers(&daemon, callers);
@@ -160,7 +160,7 @@
     let closing = Arc::new(Closing::default());
     let limits = {
         let daemon = Arc::clone(daemon);
-        move || match daemon.knowledge.catalog() {
+        move || match daemon.shared_view.catalog() {
             Some(catalog) => Limits {
                 header_bytes: catalog.limits.header_bytes,
                 idle_ms: catalog.limits.idle_ms + catalog.limits.header_ms,
@@ -199,8 +199,8 @@
 
 /// Returns the metric values that are counted elsewhere.
 fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
-    let now_ms = daemon.knowledge.now_ms();
-    daemon.knowledge.with(|local_view| Counted {
+    let now_ms = daemon.shared_view.now_ms();
+    daemon.shared_view.with(|local_view| Counted {
         store_calls: daemon.store.calls(),
         log_drops: logs.dropped(),
         limited: local_view.backpressure.limited(),
--- a/crates/trestle-entry/src/metrics.rs
+++ b/crates/trestle-entry/src/metrics.rs
@@ -86,34 +86,34 @@
     }
 
     /// Records the time until the first part of an answer.
-    pub(crate) fn first(&self, route: &str, time_ms: u64) {
+    pub(crate) fn record_first_part(&self, route: &str, time_ms: u64) {
         self.first_ms.record(time_ms as f64, &[KeyValue::new("route", route.to_owned())]);
     }
 
     /// Records the outcome and the duration of a request.
-    pub(crate) fn whole(&self, route: &str, outcome: &'static str, time_ms: u64) {
+    pub(crate) fn record_request(&self, route: &str, outcome: &'static str, time_ms: u64) {
         let labels = [KeyValue::new("route", route.to_owned()), KeyValue::new("outcome", outcome)];
         self.whole_ms.record(time_ms as f64, &labels);
     }
 
     /// Records a send to an endpoint, and whether it was the first of its request.
-    pub(crate) fn send(&self, is_first: bool) {
+    pub(crate) fn record_send(&self, is_first: bool) {
         self.sends.add(1, &[KeyValue::new("first", is_first)]);
     }
 
     /// Records an entry of an endpoint that could not be parsed.
-    pub(crate) fn unread_entry(&self) {
+    pub(crate) fn record_unreadable_entry(&self) {
         self.unread_entries.add(1, &[]);
     }
 
     /// Records a change at an engine.
-    pub(crate) fn change(&self, is_done: bool, is_remote: bool, time_ms: u64) {
+    pub(crate) fn record_change(&self, is_done: bool, is_remote: bool, time_ms: u64) {
         let labels = [KeyValue::new("done", is_done), KeyValue::new("remote", is_remote)];
         self.change_ms.record(time_ms as f64, &labels);
     }
 
     /// Records the version of the configuration in force.
-    pub(crate) fn config_version(&self, version: u64) {
+    pub(crate) fn record_config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
--- a/crates/trestle-entry/src/peer/leaders.rs
+++ b/crates/trestle-entry/src/peer/leaders.rs
@@ -38,7 +38,7 @@
     let mut exchange = CrashExchange::default();
     loop {
         // The next request covers everything marked until now.
-        daemon.knowledge.must_hear(address);
+        daemon.shared_view.must_hear(address);
         let ask = |reply| Message::AskOther { address, group: group.clone(), reply };
         let Some((mut asking, is_new)) = daemon.ask(ask).await else { return };
         exchange.ask(&daemon, &mut asking);
@@ -75,8 +75,8 @@
 /// Waits until demand must be reported to a leader.
 async fn urgent(daemon: &Daemon, address: SocketAddr) {
     loop {
-        let forwarded = daemon.knowledge.forwarded();
-        if daemon.knowledge.must_hear(address) {
+        let forwarded = daemon.shared_view.forwarded();
+        if daemon.shared_view.must_hear(address) {
             return;
         }
         forwarded.await;
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -1,7 +1,7 @@
 //! The server for other daemons.
 
 use crate::{
-    control::message::Message, crashes, daemon::Daemon, departures, lending, places, trial,
+    allocation, control::message::Message, crashes, daemon::Daemon, departures, send_permits, trial,
 };
 use async_compat::{Compat, CompatExt};
 use futures_util::StreamExt;
@@ -68,11 +68,11 @@
     }
 
     async fn lend(self, _: Context, borrowing: WireBorrowing) -> WireLoan {
-        lending::lend(&self.0, borrowing).await
+        allocation::allocate(&self.0, borrowing).await
     }
 
     async fn lend_place(self, _: Context, asking: WirePlaceAsking) -> WirePlace {
-        places::lend(&self.0, asking).await
+        send_permits::grant(&self.0, asking).await
     }
 
     async fn try_out(self, _: Context, trial: WireTrial) -> WireTrialAnswer {
@@ -82,13 +82,13 @@
 
 /// Returns the changes in the store since the position that a daemon has reported.
 fn relay(daemon: &Daemon, have: WireHave) -> WireRelay {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let age_ms = daemon.freshness.age_ms(now_ms);
     let departures = match have.departures {
         true => Vec::new(),
         false => departures::for_new_asker(daemon),
     };
-    daemon.knowledge.with(|local_view| WireRelay {
+    daemon.shared_view.with(|local_view| WireRelay {
         departures,
         endpoints: WireNews::from(local_view.list_since(have.endpoints)),
         config: local_view.config_texts.update_since(have.config).map(WireConfig::from),
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -50,7 +50,7 @@
     let mut heard_ms = 0;
     let mut is_heard = false;
     loop {
-        let urgent = daemon.knowledge.wished();
+        let urgent = daemon.shared_view.wished();
         // The leader holds a request about known demand until a requested model has arrived. New
         // demand must not wait for that answer, so it aborts such a request; but the answer about
         // new demand must not be lost.
@@ -66,19 +66,19 @@
             None
         };
         let Some(synced) = step.or(interrupted).await else { continue };
-        let urgent = daemon.knowledge.wished();
-        let now_ms = daemon.knowledge.now_ms();
+        let urgent = daemon.shared_view.wished();
+        let now_ms = daemon.shared_view.now_ms();
         talk.note_outcome(synced, now_ms);
         if synced != is_heard {
             is_heard = synced;
-            daemon.knowledge.change(|local_view| local_view.record_leader(is_heard, now_ms));
+            daemon.shared_view.change(|local_view| local_view.record_leader(is_heard, now_ms));
             tracing::info!(heard = is_heard, "sync: The leader was found or lost.");
         }
         if synced {
             heard_ms = now_ms;
         } else if now_ms > heard_ms + BELIEVED_MS {
             let has_read_entries = !daemon.freshness.must_reread();
-            daemon.knowledge.with(|local_view| local_view.clear_replicas(has_read_entries));
+            daemon.shared_view.with(|local_view| local_view.clear_replicas(has_read_entries));
         }
         let pace = pace(&daemon);
         let least_ms = pace.least_ms();
@@ -97,13 +97,13 @@
 }
 
 fn pace(daemon: &Daemon) -> Pace {
-    let askers = daemon.knowledge.with(|local_view| local_view.leader_clients);
+    let askers = daemon.shared_view.with(|local_view| local_view.leader_clients);
     Pace::of(askers, daemon.freshness.shortest_bound_ms())
 }
 
 fn has_unanswered(daemon: &Daemon) -> bool {
     daemon
-        .knowledge
+        .shared_view
         .with(|local_view| local_view.local_demand.values().any(LocalDemand::has_unplanned))
 }
 
@@ -111,7 +111,7 @@
     let waits = |local_view: &mut LocalView| {
         local_view.local_demand.values().any(|asked| !asked.waiting.is_empty())
     };
-    daemon.knowledge.with(waits)
+    daemon.shared_view.with(waits)
 }
 
 impl Talk {
@@ -133,7 +133,7 @@
 
     /// Sends one sync request. Returns whether a leader answered.
     async fn step(&mut self, daemon: &Arc<Daemon>) -> bool {
-        let asked_ms = daemon.knowledge.now_ms();
+        let asked_ms = daemon.shared_view.now_ms();
         let (answer, leader) = match calls::leader(daemon, self.attempt).await {
             Leader::Here { group, token } => {
                 let asking = self.asking(daemon, &group, token);
@@ -198,7 +198,7 @@
         let placements = self.placements.iter();
         let placements =
             placements.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
-        daemon.knowledge.with(|local_view| WireHave {
+        daemon.shared_view.with(|local_view| WireHave {
             endpoints: local_view.listing.version(),
             config: local_view.catalog.as_ref().map_or(0, |catalog| catalog.version),
             refused: 0,
@@ -208,13 +208,13 @@
     }
 
     fn digests(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
-        let now_ms = daemon.knowledge.now_ms();
-        let Some(catalog) = daemon.knowledge.catalog() else { return Vec::new() };
+        let now_ms = daemon.shared_view.now_ms();
+        let Some(catalog) = daemon.shared_view.catalog() else { return Vec::new() };
         let engines = catalog.services.iter().filter(|(_, service)| service.engine.is_some());
         let nothing = PlacementMirror::default();
         let digests = engines.map(|(service, _)| {
             let digest = daemon
-                .knowledge
+                .shared_view
                 .with(|local_view| local_view.local_demand_for(service).report(is_first, now_ms));
             let placements = self.placements.get(service).unwrap_or(&nothing);
             let log = placements.position().log;
@@ -224,9 +224,9 @@
     }
 
     fn learn(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         let mut is_news = false;
-        let counted = daemon.knowledge.with(|local_view| local_view.daemons);
+        let counted = daemon.shared_view.with(|local_view| local_view.daemons);
         for (service, mut view) in views {
             let service = ServiceName::from(service);
             let placements = self.placements.entry(service.clone()).or_default();
@@ -234,15 +234,15 @@
             let planned = view.planned;
             let view = view.into_view(placements);
             is_news |= daemon
-                .knowledge
+                .shared_view
                 .with(|local_view| local_view.update_replicas(service, view, planned, now_ms));
         }
-        let daemons = daemon.knowledge.with(|local_view| local_view.daemons);
+        let daemons = daemon.shared_view.with(|local_view| local_view.daemons);
         if counted == 0 && daemons > 0 {
             tracing::info!(daemons, "sync: The daemons that share budgets were counted.");
         }
         if is_news {
-            daemon.knowledge.say_changed();
+            daemon.shared_view.notify_changed();
         }
     }
 }
@@ -258,7 +258,7 @@
         daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
     }
     let next_ms = pace(daemon).calm_ms();
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let age_ms = relay.age_ms + now_ms.saturating_sub(asked_ms);
     let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
     if is_fresh {
--- a/crates/trestle-entry/src/places.rs
+++ b/crates/trestle-entry/src/send_permits.rs
@@ -19,11 +19,11 @@
 
 /// Requests a send permit for an endpoint. Returns until when the permit is valid. If none is
 /// granted, the reason has been recorded in the local view before this returns.
-pub(crate) async fn ask(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
-    let asked_ms = daemon.knowledge.now_ms();
+pub(crate) async fn request(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
+    let asked_ms = daemon.shared_view.now_ms();
     let incarnation = endpoint.incarnation();
     let heard = daemon
-        .knowledge
+        .shared_view
         .with(|local_view| local_view.backpressure.permit_requested(&incarnation, asked_ms))?;
     let asking = WirePlaceAsking {
         endpoint: incarnation.name.to_string(),
@@ -36,7 +36,7 @@
         is_passed_on: false,
     };
     let place = borrow(daemon, asking).await;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     tracing::debug!(id, endpoint = %incarnation.name, ?place, "endpoint: A send permit was requested.");
     let change = |local_view: &mut trestle_dispatch::local_view::LocalView| {
         let backpressure = &mut local_view.backpressure;
@@ -50,7 +50,7 @@
         }
         false
     };
-    if daemon.knowledge.with(change) {
+    if daemon.shared_view.with(change) {
         tracing::info!(endpoint = %incarnation.name, "endpoint: The endpoint no longer reports a limit.");
     }
     (place == WirePlace::Lent).then_some(asked_ms + PERMIT_VALID_MS)
@@ -83,7 +83,7 @@
 
 /// Answers a request of another daemon: decides if this daemon leads the endpoint's group, and
 /// otherwise returns the answer of the leader that does.
-pub(crate) async fn lend(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
+pub(crate) async fn grant(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
     let place = lend_here(daemon, &asking);
     if place != WirePlace::NotLending || asking.is_passed_on {
         return place;
@@ -102,7 +102,7 @@
     let incarnation =
         Incarnation { name: asking.endpoint.as_str().into(), started_unix_ms: asking.born_ms };
     let place = daemon.with_endpoint_limits(|limits| {
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         let lease = daemon.order_permits.held(now_ms).remove(&group);
         limits.request_permit(&incarnation, &group, lease, asking.heard(now_ms), now_ms)
     });
--- a/crates/trestle-entry/src/knowledge.rs
+++ b/crates/trestle-entry/src/shared_view.rs
@@ -1,7 +1,7 @@
 //! The state that one daemon knows, shared by its traffic and control parts.
 //!
 //! One lock protects it. The lock is held for a single read or change and never across an await. A
-//! task that waits for a change listens to [`Knowledge::changed`].
+//! task that waits for a change listens to [`SharedView::changed`].
 
 use crate::clock::Clock;
 use event_listener::{Event, EventListener};
@@ -23,7 +23,7 @@
 
 /// The local view of one daemon behind a lock, with events for its changes.
 #[derive(Debug)]
-pub(crate) struct Knowledge {
+pub(crate) struct SharedView {
     local_view: Mutex<LocalView>,
     changed: Event,
     wished: Event,
@@ -33,7 +33,7 @@
     clock: Clock,
 }
 
-impl Knowledge {
+impl SharedView {
     /// Returns an empty view.
     pub(crate) fn new(settings: &EntrySettings, policy: Policy, clock: Clock) -> Self {
         let bounds = &settings.bounds;
@@ -74,12 +74,12 @@
     /// Changes the local view, and wakes all tasks that wait for a change.
     pub(crate) fn change<R>(&self, change: impl FnOnce(&mut LocalView) -> R) -> R {
         let result = self.with(change);
-        self.say_changed();
+        self.notify_changed();
         result
     }
 
     /// Wakes all tasks that wait for a change.
-    pub(crate) fn say_changed(&self) {
+    pub(crate) fn notify_changed(&self) {
         self.changed.notify(usize::MAX);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Signals that a request has to wait.
-    pub(crate) fn wish(&self) {
+    pub(crate) fn notify_demand(&self) {
         self.wished.notify(usize::MAX);
     }
 
--- a/crates/trestle-entry/src/notices.rs
+++ b/crates/trestle-entry/src/signals.rs
@@ -11,7 +11,7 @@
 const ORDER_ID: &str = "order";
 
 /// Processes the signals in the answer to a request, which was sent at `sent_ms`.
-pub(crate) fn hear<B>(
+pub(crate) fn process<B>(
     daemon: &Daemon,
     endpoint: &Endpoint,
     response: &Response<B>,
@@ -19,30 +19,30 @@
     sent_ms: u64,
 ) {
     let (status, headers) = (response.status(), response.headers());
-    let notice = (daemon.wire.head.read_notice)(status, headers);
+    let notice = (daemon.wire.head.read_signals)(status, headers);
     let is_success = status.is_success();
     take(daemon, endpoint, Answer { signals: &notice, is_success, id, sent_ms });
 }
 
 /// Processes the signals in the answer to an order or a report request. The absence of signals
 /// there has no meaning, since no request was served.
-pub(crate) fn hear_call(daemon: &Daemon, endpoint: &Endpoint, answer: &exchange::Answer) {
+pub(crate) fn process_call(daemon: &Daemon, endpoint: &Endpoint, answer: &exchange::Answer) {
     let Ok(status) = StatusCode::from_u16(answer.status) else { return };
-    let notice = (daemon.wire.head.read_notice)(status, &answer.headers);
+    let notice = (daemon.wire.head.read_signals)(status, &answer.headers);
     let said = Answer { signals: &notice, is_success: false, id: ORDER_ID, sent_ms: 0 };
     take(daemon, endpoint, said);
 }
 
 fn take(daemon: &Daemon, endpoint: &Endpoint, answer: Answer<'_>) {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let incarnation = endpoint.incarnation();
     let heard =
-        daemon.knowledge.with(|local_view| local_view.apply_answer(&incarnation, answer, now_ms));
+        daemon.shared_view.with(|local_view| local_view.apply_answer(&incarnation, answer, now_ms));
     for news in &heard {
         log(endpoint, news, answer.id);
     }
     if !heard.is_empty() {
-        daemon.knowledge.say_changed();
+        daemon.shared_view.notify_changed();
     }
 }
 
--- a/crates/trestle-entry/src/stop.rs
+++ b/crates/trestle-entry/src/stop.rs
@@ -39,8 +39,8 @@
             Some(Err(error)) => return Err(error),
         }
     }
-    let started_ms = daemon.knowledge.now_ms();
-    let elapsed_ms = || daemon.knowledge.now_ms() - started_ms;
+    let started_ms = daemon.shared_view.now_ms();
+    let elapsed_ms = || daemon.shared_view.now_ms() - started_ms;
     tracing::info!(in_flight = daemon.in_flight.load(Ordering::Relaxed), "stop: Stopping.");
     daemon.stopping.begin(started_ms);
     Timer::after(Duration::from_millis(NOTICE_MS.saturating_sub(elapsed_ms()))).await;
--- a/crates/trestle-entry/src/stopping.rs
+++ b/crates/trestle-entry/src/stopping.rs
@@ -49,14 +49,14 @@
     ///
     /// Every request is accepted until the balancer has noticed the stop; a later one must be
     /// finished before the stop is.
-    pub(crate) fn can_take(&self, now_ms: u64, allowed_ms: u64) -> bool {
+    pub(crate) fn can_accept(&self, now_ms: u64, allowed_ms: u64) -> bool {
         let since_ms = self.since_ms();
         let is_noticed = since_ms > 0 && now_ms > since_ms + NOTICE_MS;
         !is_noticed || now_ms + allowed_ms < since_ms + self.limit_ms()
     }
 
     /// Returns whether a request that has not been sent to an endpoint can still be sent.
-    pub(crate) fn can_begin(&self, now_ms: u64) -> bool {
+    pub(crate) fn can_send(&self, now_ms: u64) -> bool {
         let since_ms = self.since_ms();
         since_ms == 0 || now_ms < since_ms + self.limit_ms().saturating_sub(RUN_MS)
     }
--- a/crates/trestle-entry/src/store/client.rs
+++ b/crates/trestle-entry/src/store/client.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::Clock,
     net::exchange::{self, CallClient},
-    wire::{StoreWire, Unreadable},
+    wire::{ParseError, StoreWire},
 };
 use event_listener::Event;
 use futures_lite::FutureExt;
@@ -39,7 +39,7 @@
     #[snafu(display("{source}"))]
     Exchange { source: exchange::Error },
     #[snafu(display("{source}"))]
-    Unreadable { source: Unreadable },
+    Unreadable { source: ParseError },
 }
 
 /// The one client of the store.
--- a/crates/trestle-entry/src/store/config.rs
+++ b/crates/trestle-entry/src/store/config.rs
@@ -49,7 +49,7 @@
 }
 
 fn note_read(daemon: &Daemon) {
-    daemon.freshness.config_read(daemon.knowledge.now_ms());
+    daemon.freshness.config_read(daemon.shared_view.now_ms());
 }
 
 /// Takes a row; returns whether it was understood.
@@ -70,7 +70,7 @@
         },
         ConfigUpdate::Changes { from, pieces } => {
             let old =
-                daemon.knowledge.with(|local_view| local_view.config_texts.text(*from).cloned());
+                daemon.shared_view.with(|local_view| local_view.config_texts.text(*from).cloned());
             match old.and_then(|old| apply_delta(&old, &decompress_pieces(pieces)?)) {
                 Some(text) => take_text(daemon, &text),
                 None => {
@@ -92,16 +92,16 @@
             return false;
         }
     };
-    let in_force = daemon.knowledge.catalog().map_or(0, |catalog| catalog.version);
+    let in_force = daemon.shared_view.catalog().map_or(0, |catalog| catalog.version);
     if catalog.version <= in_force {
         return true;
     }
     let (version, routes) = (catalog.version, catalog.routes.iter().count());
-    daemon.knowledge.change(|local_view| {
+    daemon.shared_view.change(|local_view| {
         local_view.catalog = Some(Arc::new(catalog));
         local_view.config_texts.add(version, text.to_vec());
     });
-    daemon.metrics.config_version(version);
+    daemon.metrics.record_config_version(version);
     let bytes = text.len();
     tracing::info!(version, routes, bytes, from = in_force, "config: A configuration is in force.");
     true
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -1,7 +1,7 @@
 //! Follows the list of live endpoints.
 
 use crate::{
-    broken,
+    connection_loss,
     daemon::Daemon,
     departures,
     store::follow::{self, Followed},
@@ -36,7 +36,7 @@
             false => ALONE_GATHER_MS,
         },
         after: |last: Option<u64>| {
-            let version = daemon.knowledge.with(|local_view| local_view.listing.version());
+            let version = daemon.shared_view.with(|local_view| local_view.listing.version());
             last.filter(|_| !daemon.freshness.must_reread()).map(|_| version)
         },
         on_read: |page: RowPage, _| {
@@ -50,36 +50,37 @@
             read(&daemon, changed(&daemon, changes, version));
         },
         on_failure: || {
-            let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|local_view| local_view.directory.record_read(false, now_ms));
+            let now_ms = daemon.shared_view.now_ms();
+            daemon.shared_view.with(|local_view| local_view.directory.record_read(false, now_ms));
         },
     };
     follow::run(&daemon, followed).await;
 }
 
 fn leader_gather_ms(daemon: &Daemon) -> u64 {
-    let endpoints = daemon.knowledge.with(|local_view| local_view.directory.iter().count()) as u64;
+    let endpoints =
+        daemon.shared_view.with(|local_view| local_view.directory.iter().count()) as u64;
     (GATHER_MS * endpoints / 100).clamp(GATHER_MS, MOST_GATHER_MS)
 }
 
 /// Takes what this daemon has read of endpoints; returns whether it is a whole list that is not
 /// older than what is known.
 fn read(daemon: &Daemon, news: ListUpdate) -> bool {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     daemon.freshness.endpoints_read(now_ms);
     take(daemon, news, Source::Store, ListOrigin { source: ListSource::Store, known_ms: now_ms })
 }
 
 /// Takes what another daemon passes on of endpoints, without what engines hold.
 pub(crate) fn take_passed_on(daemon: &Daemon, news: ListUpdate, age_ms: u64) {
-    let known_ms = daemon.knowledge.now_ms().saturating_sub(age_ms);
+    let known_ms = daemon.shared_view.now_ms().saturating_sub(age_ms);
     take(daemon, news, Source::Leader, ListOrigin { source: ListSource::Leader, known_ms });
 }
 
 fn take(daemon: &Daemon, news: ListUpdate, source: Source, heard: ListOrigin) -> bool {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let mut came = Vec::new();
-    let (is_whole, is_news) = daemon.knowledge.with(|local_view| {
+    let (is_whole, is_news) = daemon.shared_view.with(|local_view| {
         local_view.directory.record_read(true, now_ms);
         local_view.list_origin = heard;
         let fresh = local_view.listing.apply(news, source);
@@ -89,9 +90,9 @@
         (is_whole, is_news)
     });
     if is_news {
-        came.iter().for_each(|endpoint| broken::note_came(daemon, endpoint));
-        broken::note_gone(daemon);
-        daemon.knowledge.change(|local_view| local_view.forget_unlisted());
+        came.iter().for_each(|endpoint| connection_loss::handle_new_endpoint(daemon, endpoint));
+        connection_loss::handle_removed(daemon);
+        daemon.shared_view.change(|local_view| local_view.forget_unlisted());
     }
     is_whole
 }
@@ -186,7 +187,7 @@
     match (daemon.wire.store.read_endpoint)(&row.key.key, &row.value) {
         Ok(endpoint) => Some(endpoint),
         Err(error) => {
-            daemon.metrics.unread_entry();
+            daemon.metrics.record_unreadable_entry();
             let (key, version) = (&row.key.key, row.version);
             tracing::error!(%error, key, version, "endpoint: An entry is not understood.");
             None
--- a/crates/trestle-entry/src/store/follow.rs
+++ b/crates/trestle-entry/src/store/follow.rs
@@ -42,7 +42,7 @@
     let mut is_relayed = false;
     loop {
         let began_to_lead = daemon.freshness.began_to_lead();
-        let relayed_ms = daemon.freshness.relayed_for_ms(daemon.knowledge.now_ms());
+        let relayed_ms = daemon.freshness.relayed_for_ms(daemon.shared_view.now_ms());
         if is_relayed != (relayed_ms > 0) {
             is_relayed = relayed_ms > 0;
             let table = followed.table;
@@ -101,7 +101,7 @@
     R: Fn(RowPage, u64),
     C: Fn(Vec<RowChange>, u64, u64),
 {
-    let asked_ms = daemon.knowledge.now_ms();
+    let asked_ms = daemon.shared_view.now_ms();
     let Some(after) = after else {
         let page = follower.read().await?;
         let version = page.version;
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -1,9 +1,9 @@
 //! One send of a request to one endpoint.
 
 use crate::{
-    broken,
+    connection_loss,
     net::pool::{Connection, SendError},
-    notices,
+    signals,
     traffic::{
         outcome::{Unanswered, WholeAnswer},
         patience::Patience,
@@ -49,7 +49,7 @@
     task.trial.sent(&taken.endpoint);
     let waited = patience.wait(exchange(task, &mut taken, last_event_id)).await;
     let sent = waited.unwrap_or_else(|| Err(Unanswered::TimedOut(task.elapsed_ms() - sent_ms)));
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let may_have_run =
         sent.as_ref().map_or_else(|unanswered| unanswered.end().may_have_run(), |_| true);
     task.payment.ended(may_have_run);
@@ -67,7 +67,7 @@
                 }
             }
             let name = &taken.endpoint.name;
-            task.daemon.knowledge.with(|local_view| match &unanswered {
+            task.daemon.shared_view.with(|local_view| match &unanswered {
                 Unanswered::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
                     Some(model) => {
                         let loadable = Loadable::new(model, task.head.adapter.as_ref());
@@ -106,18 +106,22 @@
         let connection = pool.connection(&taken.endpoint).await;
         let mut connection = connection.map_err(|error| {
             if error.kind() == ErrorKind::ConnectionRefused {
-                broken::ended(daemon, &taken.endpoint.incarnation(), Evidence::Refused);
+                connection_loss::record_terminated(
+                    daemon,
+                    &taken.endpoint.incarnation(),
+                    Evidence::Refused,
+                );
             }
             Unanswered::Unreachable(error.to_string())
         })?;
         if !task.may_leave(&taken.endpoint) {
             return Err(Unanswered::NotSent);
         }
-        let sent_ms = daemon.knowledge.now_ms();
+        let sent_ms = daemon.shared_view.now_ms();
         taken.leaves();
         match connection.send(task.request(&taken.endpoint, last_event_id)).await {
             Ok(response) => {
-                notices::hear(daemon, &taken.endpoint, &response, &task.head.id, sent_ms);
+                signals::process(daemon, &taken.endpoint, &response, &task.head.id, sent_ms);
                 if response.status() == StatusCode::MISDIRECTED_REQUEST {
                     // It did not run, so it ends nothing.
                     taken.settle();
@@ -147,9 +151,9 @@
         // It says so, or lacks the model.
         (StatusCode::MISDIRECTED_REQUEST, Some(_)) => {}
         (StatusCode::MISDIRECTED_REQUEST, None) => {
-            broken::ended(&task.daemon, &incarnation, Evidence::Replaced);
+            connection_loss::record_terminated(&task.daemon, &incarnation, Evidence::Replaced);
         }
-        _ => task.daemon.knowledge.with(|local_view| {
+        _ => task.daemon.shared_view.with(|local_view| {
             local_view.unresolved_requests.answered(&incarnation, sent_ms, opened_ms);
         }),
     }
@@ -204,13 +208,13 @@
             Timer::after(Duration::from_millis(timeout_ms)).await;
             Err(Unanswered::TimedOut(timeout_ms))
         };
-        let knowledge = &task.daemon.knowledge;
+        let shared_view = &task.daemon.shared_view;
         let name = &taken.endpoint.name;
         match collected.or(timed_out).await {
             Ok(content) => {
                 let is_sound = !parts.status.is_server_error();
-                let now_ms = knowledge.now_ms();
-                knowledge.with(|local_view| match is_sound {
+                let now_ms = shared_view.now_ms();
+                shared_view.with(|local_view| match is_sound {
                     true => local_view.records.succeeded(name, now_ms),
                     false => local_view.records.failed(name, now_ms),
                 });
@@ -228,8 +232,8 @@
             }
             Err(unanswered) => {
                 task.trial.unanswered();
-                let now_ms = knowledge.now_ms();
-                knowledge.with(|local_view| local_view.records.failed(name, now_ms));
+                let now_ms = shared_view.now_ms();
+                shared_view.with(|local_view| local_view.records.failed(name, now_ms));
                 if matches!(unanswered, Unanswered::Broke(_)) {
                     taken.broke();
                 }
--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -69,14 +69,14 @@
     daemon: &Arc<Daemon>,
     request: Request<Incoming>,
 ) -> Result<Arc<Task>, (Failure, Option<String>)> {
-    let arrived_ms = daemon.knowledge.now_ms();
+    let arrived_ms = daemon.shared_view.now_ms();
     let (parts, body) = request.into_parts();
     let Some(head) = (daemon.wire.head.read_request)(&parts.headers) else {
         return Err((Failure::BadRequest, None));
     };
     let id = head.id.clone();
     let refuse = |failure| (failure, Some(id.clone()));
-    let Some(catalog) = daemon.knowledge.catalog() else {
+    let Some(catalog) = daemon.shared_view.catalog() else {
         return Err(refuse(Failure::NotRun {
             retry_after_ms: UNKNOWN_RETRY_MS,
             why: "no_configuration",
@@ -114,7 +114,7 @@
     }
     let service = route.target(&head.id).ok_or(Failure::NoRoute)?.clone();
     let allowed_ms = route.timeout_ms.min(head.deadline_ms.unwrap_or(u64::MAX));
-    if !daemon.stopping.can_take(arrived_ms, allowed_ms) {
+    if !daemon.stopping.can_accept(arrived_ms, allowed_ms) {
         return Err(Failure::NotRun { retry_after_ms: STOPPING_RETRY_MS, why: "stopping" });
     }
     let uri = parts.uri.path_and_query().map(|path| path.as_str().parse());
@@ -216,7 +216,7 @@
 }
 
 fn note_arrival(task: &Task) {
-    task.daemon.knowledge.with(|local_view| {
+    task.daemon.shared_view.with(|local_view| {
         local_view.request_arrived(&task.service, task.arrived_ms);
         if let Some(model) = &task.head.model {
             local_view.model_request_arrived(&task.service, model, task.arrived_ms);
--- a/crates/trestle-entry/src/traffic/payment.rs
+++ b/crates/trestle-entry/src/traffic/payment.rs
@@ -1,7 +1,7 @@
 //! What one request takes from its team's limit.
 
 use crate::{
-    lending::{self, NotLent},
+    allocation::{self, AllocationError},
     traffic::{answer::Failure, task::Task},
 };
 use smol::Timer;
@@ -95,7 +95,7 @@
 pub(crate) fn check(task: &Task) -> Result<(), Failure> {
     let Some(cost) = cost(task) else { return Ok(()) };
     let daemon = &task.daemon;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     if task.payment.is_made(task, now_ms) {
         return Ok(());
     }
@@ -116,24 +116,26 @@
     let Some(Cost { team, limit, units }) = cost(task) else { return Ok(()) };
     let mut waits_ms = wait_ms(task);
     loop {
-        match lending::spend(&task.daemon, team, &limit, units).await {
+        match allocation::spend(&task.daemon, team, &limit, units).await {
             // The answer took longer than what it lends can be spent.
-            Ok(until_ms) if task.daemon.knowledge.now_ms() >= until_ms => {
+            Ok(until_ms) if task.daemon.shared_view.now_ms() >= until_ms => {
                 return Err(Failure::NotRun { retry_after_ms: NO_LENDER_MS, why: "no_lender" });
             }
             Ok(until_ms) => {
                 *task.payment.state() = State::Taken { until_ms };
                 return Ok(());
             }
-            Err(NotLent::SpentOut { in_ms }) if in_ms <= waits_ms && !task.is_over() => {
+            Err(AllocationError::LimitReached { in_ms })
+                if in_ms <= waits_ms && !task.is_over() =>
+            {
                 let in_ms = in_ms.max(1);
                 waits_ms = waits_ms.saturating_sub(in_ms);
                 Timer::after(Duration::from_millis(in_ms)).await;
             }
-            Err(NotLent::SpentOut { in_ms }) => {
+            Err(AllocationError::LimitReached { in_ms }) => {
                 return Err(Failure::OverLimit { retry_after_ms: in_ms });
             }
-            Err(NotLent::NoLender) => {
+            Err(AllocationError::NoAllocator) => {
                 return Err(Failure::NotRun { retry_after_ms: NO_LENDER_MS, why: "no_lender" });
             }
         }
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -39,11 +39,11 @@
         }
         match send(task, taken, &mut sends).await {
             Ok(answer) if answer.response.status().is_server_error() && is_repeatable => {
-                sends.ended(SendEnd::Failed, task.daemon.knowledge.now_ms());
+                sends.ended(SendEnd::Failed, task.daemon.shared_view.now_ms());
                 failed_answer = Some(answer);
             }
             Ok(answer) => break Ok(answer),
-            Err(unanswered) => sends.ended(unanswered.end(), task.daemon.knowledge.now_ms()),
+            Err(unanswered) => sends.ended(unanswered.end(), task.daemon.shared_view.now_ms()),
         }
         if task.is_over() || (sends.may_have_run && !is_repeatable) {
             break Err(Failure::MayHaveRun);
@@ -68,7 +68,7 @@
     taken: Taken,
     sends: &mut Sends,
 ) -> Result<WholeAnswer, Unanswered> {
-    task.daemon.metrics.send(sends.count == 0);
+    task.daemon.metrics.record_send(sends.count == 0);
     sends.sent(&taken.endpoint.name);
     // While another send is left, one that is no longer on time makes way for it.
     let patience = Patience { task, sends, slice_ms: patience::answer_ms(&task.route) };
--- a/crates/trestle-entry/src/traffic/report.rs
+++ b/crates/trestle-entry/src/traffic/report.rs
@@ -83,5 +83,5 @@
         allowed_ms = task.allowed_ms,
         "request: Ended."
     );
-    task.daemon.metrics.whole(&task.route.name, end.name(), took_ms);
+    task.daemon.metrics.record_request(&task.route.name, end.name(), took_ms);
 }
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -1,9 +1,9 @@
 //! Finds an endpoint for a request, and waits for its model where that helps.
 
 use crate::{
-    broken,
+    connection_loss,
     daemon::Daemon,
-    places,
+    send_permits,
     traffic::{
         answer::{Failure, RETRY_SOON_MS},
         payment,
@@ -41,7 +41,7 @@
         self.is_open = true;
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.track_request(&self.endpoint, request));
     }
 
@@ -52,13 +52,13 @@
         let incarnation = self.endpoint.incarnation();
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.unresolved_requests.resolved(&incarnation, request));
     }
 
     /// Notes that its connection to the endpoint broke.
     pub(crate) fn broke(&mut self) {
-        broken::note(&self.task.daemon, &self.endpoint, self.task.head.fingerprint);
+        connection_loss::record_lost(&self.task.daemon, &self.endpoint, self.task.head.fingerprint);
         self.settle();
     }
 }
@@ -72,7 +72,7 @@
     let mut wish: Option<WishGuard> = None;
     payment::check(task)?;
     loop {
-        let changed = task.daemon.knowledge.changed();
+        let changed = task.daemon.shared_view.changed();
         if !task.still_counts() {
             return Err(Failure::NoKey);
         }
@@ -97,7 +97,9 @@
                 continue;
             }
             Selection::AskPlace(endpoint) => {
-                if let Some(until_ms) = places::ask(&task.daemon, &endpoint, &task.head.id).await {
+                if let Some(until_ms) =
+                    send_permits::request(&task.daemon, &endpoint, &task.head.id).await
+                {
                     task.place.take(endpoint.incarnation(), until_ms);
                 }
                 continue;
@@ -112,7 +114,7 @@
             }
             Selection::Wait { until_ms } => until_ms,
         };
-        if !task.daemon.stopping.can_begin(task.daemon.knowledge.now_ms()) {
+        if !task.daemon.stopping.can_send(task.daemon.shared_view.now_ms()) {
             return Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "stopping" });
         }
         if wish.is_none() {
@@ -136,9 +138,9 @@
 
 fn look(task: &Task, sends: &Sends, wish: Option<u64>) -> Selection {
     let lot = fastrand::u64(..);
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let place = task.place.incarnation(now_ms);
-    task.daemon.knowledge.with(|local_view| {
+    task.daemon.shared_view.with(|local_view| {
         let asking = Asking { wish, place: place.as_ref(), ..task.asking() };
         let selection = selection::select(local_view, asking, sends, lot, now_ms);
         if let Selection::HeldBack(held_back) = &selection {
@@ -158,35 +160,35 @@
 
 /// Whether another endpoint than the last could take the request over now.
 pub(crate) fn has_other(task: &Task, sends: &Sends) -> bool {
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let look = |local_view: &mut _| selection::has_other(local_view, task.asking(), sends, now_ms);
-    task.daemon.knowledge.with(look)
+    task.daemon.shared_view.with(look)
 }
 
 /// Has the model kept for a caller that was told to come back.
 fn expect_back(task: &Task, retry_after_ms: u64) {
     let daemon = &task.daemon;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let number = daemon.next_number();
-    daemon.knowledge.with(|local_view| {
+    daemon.shared_view.with(|local_view| {
         let policy = &local_view.policy;
         let wish = selection::wish_of_returning(policy, task.asking(), retry_after_ms, now_ms);
         if let Some(wish) = wish {
             local_view.local_demand_for(&task.service).returning.insert(number, wish);
         }
     });
-    daemon.knowledge.wish();
+    daemon.shared_view.notify_demand();
 }
 
 impl Drop for Taken {
     fn drop(&mut self) {
         if let Some(request) = self.task.head.fingerprint.filter(|_| self.is_open) {
-            broken::note_left(&self.task.daemon, &self.endpoint, request);
+            connection_loss::record_abandoned(&self.task.daemon, &self.endpoint, request);
         }
         let (model, adapter) = (self.task.head.model.as_ref(), self.task.head.adapter.as_ref());
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.request_ended(&self.endpoint, model, adapter));
     }
 }
@@ -203,19 +205,19 @@
         let daemon = Arc::clone(&task.daemon);
         let number = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
-        daemon.knowledge.with(|local_view| {
+        daemon.shared_view.with(|local_view| {
             if let Some(wish) = selection::wish(task.asking(), due_ms) {
                 local_view.local_demand_for(&task.service).waiting.insert(number, wish);
             }
         });
-        daemon.knowledge.wish();
+        daemon.shared_view.notify_demand();
         Self { daemon, service: task.service.clone(), number }
     }
 }
 
 impl Drop for WishGuard {
     fn drop(&mut self) {
-        self.daemon.knowledge.with(|local_view| {
+        self.daemon.shared_view.with(|local_view| {
             local_view.local_demand_for(&self.service).waiting.remove(&self.number);
         });
     }
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -37,7 +37,7 @@
     let is_stream = matches!(opened, Ok(Opened::Events(..)));
     let response = match opened {
         Ok(Opened::Events(parts, first)) => {
-            task.daemon.metrics.first(&task.route.name, task.elapsed_ms());
+            task.daemon.metrics.record_first_part(&task.route.name, task.elapsed_ms());
             let seen = StreamSeen { first_ms: Some(task.elapsed_ms()), ..StreamSeen::default() };
             let event_ms = task.elapsed_ms();
             let running = Running { flow, first: Some(first), end: None, seen, event_ms };
@@ -174,14 +174,14 @@
             let why = "retries_spent";
             return Err(Some(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why }));
         }
-        self.task.daemon.metrics.send(self.sends.count == 0);
+        self.task.daemon.metrics.record_send(self.sends.count == 0);
         self.sends.sent(&taken.endpoint.name);
         let last_event_id = self.buffer.last_id();
         let patience = self.patience(patience::first_event_ms(&self.task.route));
         match attempt::send(&self.task, taken, last_event_id, patience).await {
             Ok(attempt) => Ok(attempt),
             Err(unanswered) => {
-                self.sends.ended(unanswered.end(), self.task.daemon.knowledge.now_ms());
+                self.sends.ended(unanswered.end(), self.task.daemon.shared_view.now_ms());
                 let is_final = unanswered.end().may_have_run() && !self.is_resumable();
                 Err(is_final.then_some(Failure::MayHaveRun))
             }
@@ -237,8 +237,8 @@
         if let Some(mut source) = self.source.take() {
             let daemon = &self.task.daemon;
             let name = &source.taken.endpoint.name;
-            let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|local_view| local_view.records.succeeded(name, now_ms));
+            let now_ms = daemon.shared_view.now_ms();
+            daemon.shared_view.with(|local_view| local_view.records.succeeded(name, now_ms));
             if source.shows_its_end {
                 self.task.trial.settled();
                 source.taken.settle();
@@ -250,7 +250,7 @@
     }
 
     fn note_failed(&mut self) {
-        self.sends.ended(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
+        self.sends.ended(SendEnd::Failed, self.task.daemon.shared_view.now_ms());
     }
 
     fn note_broken(&mut self, breach: &Breach) {
@@ -260,8 +260,8 @@
         let Some(mut source) = self.source.take() else { return };
         let name = &source.taken.endpoint.name;
         let daemon = &self.task.daemon;
-        let now_ms = daemon.knowledge.now_ms();
-        daemon.knowledge.with(|local_view| local_view.records.failed(name, now_ms));
+        let now_ms = daemon.shared_view.now_ms();
+        daemon.shared_view.with(|local_view| local_view.records.failed(name, now_ms));
         tracing::info!(
             id = self.task.head.id, request = self.task.fingerprint(), endpoint = %name,
             reason = breach.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream broke."
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -93,17 +93,18 @@
             allowed_ms: self.allowed_ms,
             elapsed_ms: self.elapsed_ms(),
             wish: None,
-            is_trial: self.trial.is_begun(),
-            is_paid: self.payment.is_made(self, self.daemon.knowledge.now_ms()),
+            is_trial: self.trial.is_permitted(),
+            is_paid: self.payment.is_made(self, self.daemon.shared_view.now_ms()),
             place: None,
         }
     }
 
     /// Takes a further send from the budget, if the request may go out once more.
     pub(crate) fn take_next(&self, sends: &mut Sends) -> bool {
-        let knowledge = &self.daemon.knowledge;
-        let now_ms = knowledge.now_ms();
-        knowledge.with(|local_view| sends.take_next(&self.route, &self.service, local_view, now_ms))
+        let shared_view = &self.daemon.shared_view;
+        let now_ms = shared_view.now_ms();
+        shared_view
+            .with(|local_view| sends.take_next(&self.route, &self.service, local_view, now_ms))
     }
 
     /// What all attempts of the request have in common, for logs.
@@ -114,9 +115,9 @@
     /// Whether it may leave for an endpoint, by what is known at this moment. An endpoint may have
     /// left, or named a limit, while a connection was opened.
     pub(crate) fn may_leave(&self, endpoint: &Endpoint) -> bool {
-        let now_ms = self.daemon.knowledge.now_ms();
+        let now_ms = self.daemon.shared_view.now_ms();
         let incarnation = endpoint.incarnation();
-        let (is_usable, is_limited) = self.daemon.knowledge.with(|local_view| {
+        let (is_usable, is_limited) = self.daemon.shared_view.with(|local_view| {
             let is_limited = local_view.backpressure.limit(&incarnation).is_some();
             let rests = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
             (local_view.directory.is_usable(&incarnation) && !rests, is_limited)
@@ -165,14 +166,14 @@
 
     /// Whether the caller's key has not been taken away since it was routed.
     pub(crate) fn still_counts(&self) -> bool {
-        let Some(catalog) = self.daemon.knowledge.catalog() else { return true };
+        let Some(catalog) = self.daemon.shared_view.catalog() else { return true };
         catalog.version == self.config_version || self.identity.is_still_valid(&catalog)
     }
 
     /// Notes that it had a whole answer of an endpoint, so that it ends none.
     pub(crate) fn note_served(&self, endpoint: &Endpoint) {
         let served = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
-        if let Some(ends) = self.daemon.knowledge.with(served) {
+        if let Some(ends) = self.daemon.shared_view.with(served) {
             tracing::warn!(
                 id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
                 "request: It had a whole answer, and is tried or refused no more."
@@ -206,7 +207,7 @@
 
     /// Time since its arrival.
     pub(crate) fn elapsed_ms(&self) -> u64 {
-        self.daemon.knowledge.now_ms().saturating_sub(self.arrived_ms)
+        self.daemon.shared_view.now_ms().saturating_sub(self.arrived_ms)
     }
 
     /// Time that is left until its final answer is due.
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -1,7 +1,7 @@
 //! Asks a leader whether a request that may have crashed endpoints may run, and decides on it
 //! where this daemon leads.
 
-use crate::{broken, control::message::Leader, daemon::Daemon, peer::calls};
+use crate::{connection_loss, control::message::Leader, daemon::Daemon, peer::calls};
 use smol::Timer;
 use std::{
     net::SocketAddr,
@@ -40,7 +40,7 @@
 
 impl Trial {
     /// Returns whether an attempt is permitted.
-    pub(crate) fn is_begun(&self) -> bool {
+    pub(crate) fn is_permitted(&self) -> bool {
         self.begun().is_some()
     }
 
@@ -57,7 +57,7 @@
         let number = daemon.next_number();
         let asked = ask(daemon, of_this_vm(daemon, request, number, false)).await;
         let is_known =
-            daemon.knowledge.with(|local_view| local_view.crashes.must_run_serially(request));
+            daemon.shared_view.with(|local_view| local_view.crashes.must_run_serially(request));
         tracing::info!(%request, answer = ?asked, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
         match asked {
             // A request that is only suspected is not refused because no leader answers.
@@ -114,7 +114,7 @@
 /// awaited.
 async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint, request: Fingerprint) {
     Timer::after(Duration::from_millis(MAX_CRASH_DELAY_MS)).await;
-    broken::note(&daemon, &endpoint, Some(request));
+    connection_loss::record_lost(&daemon, &endpoint, Some(request));
 }
 
 fn of_this_vm(daemon: &Daemon, request: Fingerprint, number: u64, has_ended: bool) -> WireTrial {
@@ -159,7 +159,7 @@
 fn decide_here(daemon: &Daemon, trial: &WireTrial, since_ms: Option<u64>) -> WireTrialAnswer {
     let request = Fingerprint::from_bytes(trial.request);
     let vm = VmName::from(trial.vm.as_str());
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     daemon.with_trials(|trials| {
         if trial.has_ended {
             trials.end(request, &vm, trial.number);
--- a/crates/trestle-entry/src/wire.rs
+++ b/crates/trestle-entry/src/wire.rs
@@ -19,7 +19,7 @@
 pub type Call = Request<Vec<u8>>;
 
 /// The cause why external data could not be parsed, for log lines.
-pub type Unreadable = Box<dyn std::error::Error + Send + Sync>;
+pub type ParseError = Box<dyn std::error::Error + Send + Sync>;
 
 /// The formats of the daemon's environment.
 #[derive(Debug, Clone, Copy)]
@@ -45,19 +45,19 @@
     /// it.
     pub read_call: fn(&str, &str, Option<&str>) -> Call,
     /// Parses the answer to `read_call`.
-    pub read_answer: fn(u16, &[u8]) -> Result<RowPage, Unreadable>,
+    pub read_answer: fn(u16, &[u8]) -> Result<RowPage, ParseError>,
     /// Builds the call that waits for changes of a table after a transaction, for a time in ms.
     pub follow_call: fn(&str, u64, u64) -> Call,
     /// Parses the answer to `follow_call`.
-    pub follow_answer: fn(u16, &[u8]) -> Result<Feed, Unreadable>,
+    pub follow_answer: fn(u16, &[u8]) -> Result<Feed, ParseError>,
     /// Builds the call for a conditional write.
     pub write_call: fn(&ConditionalWrite) -> Call,
     /// Parses the answer to `write_call`.
     pub write_answer: fn(u16, &[u8]) -> WriteOutcome,
     /// Parses a configuration.
-    pub read_config: fn(&[u8]) -> Result<Catalog, Unreadable>,
+    pub read_config: fn(&[u8]) -> Result<Catalog, ParseError>,
     /// Parses the entry of the endpoint with a name.
-    pub read_endpoint: fn(&str, &[u8]) -> Result<Endpoint, Unreadable>,
+    pub read_endpoint: fn(&str, &[u8]) -> Result<Endpoint, ParseError>,
 }
 
 /// The formats of endpoints.
@@ -66,7 +66,7 @@
     /// Builds the call that requests an engine's report.
     pub report_call: fn() -> Call,
     /// Parses the answer to `report_call`.
-    pub report_answer: fn(u16, &[u8]) -> Result<EngineReport, Unreadable>,
+    pub report_answer: fn(u16, &[u8]) -> Result<EngineReport, ParseError>,
     /// Builds the call, at the service's health path, that asks an endpoint for its name; `None`
     /// if the path is not valid.
     pub identity_call: fn(&EndpointName, &str) -> Option<Call>,
@@ -88,7 +88,7 @@
     /// Parses the headers of an endpoint's answer.
     pub read_answer: fn(&HeaderMap) -> AnswerHead,
     /// Parses an endpoint's signals from the status and headers of an answer.
-    pub read_notice: fn(StatusCode, &HeaderMap) -> EndpointSignals,
+    pub read_signals: fn(StatusCode, &HeaderMap) -> EndpointSignals,
     /// Changes an endpoint's headers into those for the caller.
     pub forward_answer: fn(&mut HeaderMap),
     /// Sets the headers of the daemon's own answer to a request with an id.
--- a/crates/trestled/src/surroundings.rs
+++ b/crates/trestled/src/surroundings.rs
@@ -30,7 +30,7 @@
             read_request: head::read_request,
             forward_request: head::forward_request,
             read_answer: head::read_answer,
-            read_notice: notice::read,
+            read_signals: notice::read,
             forward_answer: head::forward_answer,
             own_answer: head::own_answer,
         },
