--- a/crates/trestle-dispatch/tests/rest.rs
+++ b/crates/trestle-dispatch/tests/rest.rs
@@ -6,13 +6,13 @@
 use common::{endpoint, route};
 use trestle_dispatch::{
     backpressure::Answer,
-    choice::HeldBack,
+    choice::Throttled,
     endpoint::Incarnation,
     local_view::LocalView,
     request::RequestHead,
     retry_share::RetryBounds,
     route::RouteKind,
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::{SendEnd, Sends},
     signals::{EndpointSignals, HeaderField},
 };
@@ -59,16 +59,16 @@
 fn select(local_view: &mut LocalView, sends: &Sends, lot: u64, now_ms: u64) -> Selection {
     let route = route("/", RouteKind::Idempotent);
     let head = RequestHead::default();
-    let asking = Asking {
+    let asking = RequestContext {
         route: &route,
         service: &"s".into(),
         head: &head,
         allowed_ms: 4_000,
         elapsed_ms: 0,
-        wish: None,
+        demand_id: None,
         is_trial: false,
-        is_paid: true,
-        place: None,
+        has_quota: true,
+        send_permit: None,
     };
     selection::select(local_view, asking, sends, lot, now_ms)
 }
@@ -97,9 +97,9 @@
         answered(&mut local_view, "y", Some(1_000), NOW_MS, NOW_MS);
         // One that has just been turned away is refused no later than others.
         let mut sends = Sends::default();
-        sends.sent(&"y".into());
-        sends.ended(SendEnd::NotRun, NOW_MS);
-        let first = Selection::HeldBack(HeldBack { incarnation: incarnation("y"), for_ms: 900, is_limited: false });
+        sends.record_send(&"y".into());
+        sends.record_end(SendEnd::NotRun, NOW_MS);
+        let first = Selection::Throttled(Throttled { incarnation: incarnation("y"), for_ms: 900, is_limited: false });
         assert_eq!(select(&mut local_view, &sends, 1, NOW_MS + 100), first);
     }
 
@@ -146,9 +146,9 @@
         local_view.daemons = 1;
         let route = route("/", RouteKind::Idempotent);
         let mut sends = Sends::default();
-        assert!(sends.take_next(&route, &"s".into(), &mut local_view, NOW_MS));
-        sends.sent(&"x".into());
-        sends.ended(SendEnd::NotSent, NOW_MS);
+        assert!(sends.reserve_next(&route, &"s".into(), &mut local_view, NOW_MS));
+        sends.record_send(&"x".into());
+        sends.record_end(SendEnd::NotSent, NOW_MS);
         assert_eq!((sends.count, sends.may_have_run), (0, false));
         // The endpoint is not set aside by it either.
         assert!(sends.allowed(&route, NOW_MS).excluded.is_empty());
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -17,7 +17,7 @@
 use trestle_dispatch::{
     admission::Reason,
     endpoint::Endpoint,
-    selection::{self, Asking, Selection},
+    selection::{self, RequestContext, Selection},
     sends::Sends,
 };
 
@@ -81,7 +81,7 @@
             Selection::Send(endpoint) => {
                 return Ok(Taken { endpoint, task: Arc::clone(task), is_open: false });
             }
-            Selection::Try => {
+            Selection::RequestTrial => {
                 try_out(task).await?;
                 continue;
             }
@@ -92,11 +92,11 @@
                 let why = reason.map_or("no_endpoint", Reason::name);
                 return Err(Failure::NotRun { retry_after_ms, why });
             }
-            Selection::Pay => {
+            Selection::ChargeQuota => {
                 payment::pay(task).await?;
                 continue;
             }
-            Selection::AskPlace(endpoint) => {
+            Selection::RequestSendPermit(endpoint) => {
                 if let Some(until_ms) =
                     send_permits::request(&task.daemon, &endpoint, &task.head.id).await
                 {
@@ -104,7 +104,7 @@
                 }
                 continue;
             }
-            Selection::HeldBack(held_back) => {
+            Selection::Throttled(held_back) => {
                 let retry_after_ms = held_back.for_ms;
                 // A rest is over soon; what takes less for longer is brought in elsewhere.
                 if held_back.is_limited {
@@ -141,9 +141,10 @@
     let now_ms = task.daemon.shared_view.now_ms();
     let place = task.place.incarnation(now_ms);
     task.daemon.shared_view.with(|local_view| {
-        let asking = Asking { wish, place: place.as_ref(), ..task.asking() };
+        let asking =
+            RequestContext { demand_id: wish, send_permit: place.as_ref(), ..task.asking() };
         let selection = selection::select(local_view, asking, sends, lot, now_ms);
-        if let Selection::HeldBack(held_back) = &selection {
+        if let Selection::Throttled(held_back) = &selection {
             task.note_held_back(local_view, &held_back.incarnation, now_ms);
         }
         if let Selection::Send(endpoint) = &selection {
@@ -161,7 +162,8 @@
 /// Whether another endpoint than the last could take the request over now.
 pub(crate) fn has_other(task: &Task, sends: &Sends) -> bool {
     let now_ms = task.daemon.shared_view.now_ms();
-    let look = |local_view: &mut _| selection::has_other(local_view, task.asking(), sends, now_ms);
+    let look =
+        |local_view: &mut _| selection::has_alternative(local_view, task.asking(), sends, now_ms);
     task.daemon.shared_view.with(look)
 }
 
@@ -172,7 +174,7 @@
     let number = daemon.next_number();
     daemon.shared_view.with(|local_view| {
         let policy = &local_view.policy;
-        let wish = selection::wish_of_returning(policy, task.asking(), retry_after_ms, now_ms);
+        let wish = selection::returning_demand(policy, task.asking(), retry_after_ms, now_ms);
         if let Some(wish) = wish {
             local_view.local_demand_for(&task.service).returning.insert(number, wish);
         }
@@ -206,7 +208,7 @@
         let number = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
         daemon.shared_view.with(|local_view| {
-            if let Some(wish) = selection::wish(task.asking(), due_ms) {
+            if let Some(wish) = selection::pending_demand(task.asking(), due_ms) {
                 local_view.local_demand_for(&task.service).waiting.insert(number, wish);
             }
         });
