--- a/crates/trestle-entry/src/cleanup.rs
+++ b/crates/trestle-entry/src/cleanup.rs
@@ -10,24 +10,25 @@
 use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
 /// Time between two rounds.
-const EVERY_MS: u64 = 500;
+const INTERVAL_MS: u64 = 500;
 
 /// Shortest difference between the two clocks that counts as a suspension of the VM.
-const NOTICED_MS: u64 = 100;
+const SUSPENSION_MS: u64 = 100;
 
 /// Removes state that is no longer needed, until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     loop {
         let (began_ms, began) = (daemon.shared_view.now_ms(), Instant::now());
-        Timer::after(Duration::from_millis(EVERY_MS)).await;
+        Timer::after(Duration::from_millis(INTERVAL_MS)).await;
         let now_ms = daemon.shared_view.now_ms();
-        let counted_ms = began.elapsed().as_millis() as u64;
-        let suspended_ms = (now_ms - began_ms).saturating_sub(counted_ms);
-        if suspended_ms > NOTICED_MS {
+        let monotonic_ms = began.elapsed().as_millis() as u64;
+        let suspended_ms = (now_ms - began_ms).saturating_sub(monotonic_ms);
+        if suspended_ms > SUSPENSION_MS {
             tracing::warn!(suspended_ms, "daemon: The VM was suspended.");
         }
-        let lapsed = daemon.shared_view.with(|local_view| local_view.directory.drop_lapsed(now_ms));
-        for name in &lapsed {
+        let expired =
+            daemon.shared_view.with(|local_view| local_view.directory.drop_lapsed(now_ms));
+        for name in &expired {
             tracing::info!(endpoint = %name, "endpoint: The endpoint did not return; it counts as gone.");
         }
         let live: BTreeSet<Incarnation> = daemon
--- a/crates/trestle-entry/src/connection_loss.rs
+++ b/crates/trestle-entry/src/connection_loss.rs
@@ -24,20 +24,20 @@
 };
 
 /// Most requests listed in one log line.
-const MOST_LOGGED: usize = 8;
+const MAX_LOGGED: usize = 8;
 /// Time limit for an endpoint's answer about its identity.
 const ANSWER_MS: u64 = 400;
 /// Longest pause between two checks of an endpoint that cannot be reached.
-const MOST_PAUSE_MS: u64 = 2_000;
+const MAX_PAUSE_MS: u64 = 2_000;
 
 /// The result of a check.
-enum Seen {
+enum CheckResult {
     /// The endpoint is alive.
-    Lives,
+    Alive,
     /// The endpoint has terminated.
-    Ended(Evidence),
+    Terminated(Evidence),
     /// The check was inconclusive.
-    Nothing,
+    Inconclusive,
 }
 
 /// Records that a request's connection was lost. The first loss at an endpoint starts a task that
@@ -45,13 +45,13 @@
 pub(crate) fn record_lost(daemon: &Arc<Daemon>, endpoint: &Endpoint, request: Option<Fingerprint>) {
     let Some(request) = request else { return };
     let now_ms = daemon.shared_view.now_ms();
-    let broke =
+    let loss =
         daemon.shared_view.with(|local_view| local_view.connection_lost(endpoint, request, now_ms));
-    match broke {
+    match loss {
         Some(ConnectionLoss::CheckNeeded) => {
-            smol::spawn(find_out(Arc::clone(daemon), endpoint.clone())).detach();
+            smol::spawn(check_until_known(Arc::clone(daemon), endpoint.clone())).detach();
         }
-        Some(ConnectionLoss::Terminated) => note_late(daemon, &endpoint.incarnation(), request),
+        Some(ConnectionLoss::Terminated) => record_late(daemon, &endpoint.incarnation(), request),
         Some(ConnectionLoss::CheckRunning) | None => {}
     }
 }
@@ -59,18 +59,18 @@
 /// Records that the caller no longer waits for a request that still runs at an endpoint.
 pub(crate) fn record_abandoned(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
     let now_ms = daemon.shared_view.now_ms();
-    let has_ended = daemon
+    let is_terminated = daemon
         .shared_view
         .with(|local_view| local_view.request_abandoned(endpoint, request, now_ms));
-    if has_ended {
-        note_late(daemon, &endpoint.incarnation(), request);
+    if is_terminated {
+        record_late(daemon, &endpoint.incarnation(), request);
     }
 }
 
 /// Handles endpoints that the list shows to have terminated.
 pub(crate) fn handle_removed(daemon: &Daemon) {
-    let gone = daemon.shared_view.with(|local_view| local_view.terminated_by_list());
-    for (incarnation, evidence) in &gone {
+    let removed = daemon.shared_view.with(|local_view| local_view.terminated_by_list());
+    for (incarnation, evidence) in &removed {
         record_terminated(daemon, incarnation, *evidence);
     }
 }
@@ -90,16 +90,16 @@
     let requests = daemon
         .shared_view
         .with(|local_view| local_view.incarnation_terminated(incarnation, evidence, now_ms));
-    note_ended(daemon, incarnation, evidence.name(), &requests);
+    record_crashes(daemon, incarnation, evidence.name(), &requests);
 }
 
 /// Checks an endpoint until its state is known or nothing depends on it.
-async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint) {
+async fn check_until_known(daemon: Arc<Daemon>, endpoint: Endpoint) {
     let incarnation = endpoint.incarnation();
     let mut pause_ms = MAX_CRASH_DELAY_MS;
-    let mut seen = listens(&endpoint).await;
+    let mut result = check_port(&endpoint).await;
     loop {
-        if let Seen::Ended(evidence) = seen {
+        if let CheckResult::Terminated(evidence) = result {
             record_terminated(&daemon, &incarnation, evidence);
         }
         Timer::after(Duration::from_millis(pause_ms)).await;
@@ -110,56 +110,56 @@
         {
             return;
         }
-        seen = look(&daemon, &endpoint).await;
-        match seen {
-            Seen::Lives => {
+        result = check_identity(&daemon, &endpoint).await;
+        match result {
+            CheckResult::Alive => {
                 daemon.shared_view.with(|local_view| {
                     local_view.unresolved_requests.confirmed_alive(&incarnation, now_ms)
                 });
                 tracing::info!(endpoint = %incarnation.name, born_ms = incarnation.started_unix_ms, "endpoint: The endpoint is alive; no request crashed it.");
                 pause_ms = MAX_CRASH_DELAY_MS;
             }
-            Seen::Nothing => pause_ms = (2 * pause_ms).min(MOST_PAUSE_MS),
-            Seen::Ended(_) => {}
+            CheckResult::Inconclusive => pause_ms = (2 * pause_ms).min(MAX_PAUSE_MS),
+            CheckResult::Terminated(_) => {}
         }
     }
 }
 
 /// Checks whether a process listens at an endpoint's address.
-async fn listens(endpoint: &Endpoint) -> Seen {
+async fn check_port(endpoint: &Endpoint) -> CheckResult {
     match connect::open(endpoint.address, CONNECT_MS).await {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-            Seen::Ended(Evidence::Refused)
+            CheckResult::Terminated(Evidence::Refused)
         }
         // A process listens there, or the address cannot be reached.
-        Ok(_) | Err(_) => Seen::Nothing,
+        Ok(_) | Err(_) => CheckResult::Inconclusive,
     }
 }
 
 /// Checks which endpoint listens at an endpoint's address.
-async fn look(daemon: &Daemon, endpoint: &Endpoint) -> Seen {
-    let Some(catalog) = daemon.shared_view.catalog() else { return listens(endpoint).await };
+async fn check_identity(daemon: &Daemon, endpoint: &Endpoint) -> CheckResult {
+    let Some(catalog) = daemon.shared_view.catalog() else { return check_port(endpoint).await };
     let Some(service) = catalog.services.get(&endpoint.service) else {
-        return listens(endpoint).await;
+        return check_port(endpoint).await;
     };
     let wire = &daemon.wire.endpoint;
     let client = CallClient::new(endpoint.address);
     // Only an engine's report distinguishes several incarnations with the same name.
     if endpoint.has_start_time() {
         if service.engine.is_none() {
-            return listens(endpoint).await;
+            return check_port(endpoint).await;
         }
-        return seen_by(client.exchange((wire.report_call)(), ANSWER_MS).await, |answer| {
+        return evaluate(client.exchange((wire.report_call)(), ANSWER_MS).await, |answer| {
             let report = (wire.report_answer)(answer.status, &answer.body).ok()?;
             let is_known = report.started_unix_ms != 0;
             is_known.then_some((report.is_from(endpoint), Evidence::StartedAgain))
         });
     }
-    let Some(path) = &service.health_path else { return listens(endpoint).await };
+    let Some(path) = &service.health_path else { return check_port(endpoint).await };
     let Some(call) = (wire.identity_call)(&endpoint.name, path) else {
-        return listens(endpoint).await;
+        return check_port(endpoint).await;
     };
-    seen_by(client.exchange(call, ANSWER_MS).await, |answer| {
+    evaluate(client.exchange(call, ANSWER_MS).await, |answer| {
         let is_another = answer.status == StatusCode::MISDIRECTED_REQUEST.as_u16();
         let named = (wire.identity_answer)(&answer.headers);
         match (is_another, named) {
@@ -171,28 +171,28 @@
 
 /// Evaluates an answer. `read` returns whether it comes from the endpoint itself, and the evidence
 /// if it does not.
-fn seen_by(
+fn evaluate(
     answer: Result<Answer, Error>,
     read: impl FnOnce(Answer) -> Option<(bool, Evidence)>,
-) -> Seen {
+) -> CheckResult {
     match answer {
         Ok(answer) => match read(answer) {
-            Some((true, _)) => Seen::Lives,
-            Some((false, evidence)) => Seen::Ended(evidence),
-            None => Seen::Nothing,
+            Some((true, _)) => CheckResult::Alive,
+            Some((false, evidence)) => CheckResult::Terminated(evidence),
+            None => CheckResult::Inconclusive,
         },
-        Err(error) if error.is_refused() => Seen::Ended(Evidence::Refused),
-        Err(_) => Seen::Nothing,
+        Err(error) if error.is_refused() => CheckResult::Terminated(Evidence::Refused),
+        Err(_) => CheckResult::Inconclusive,
     }
 }
 
 /// Handles a request that was still open at an endpoint when the endpoint was found to have
 /// terminated.
-fn note_late(daemon: &Daemon, incarnation: &Incarnation, request: Fingerprint) {
-    note_ended(daemon, incarnation, "known_before", &BTreeSet::from([request]));
+fn record_late(daemon: &Daemon, incarnation: &Incarnation, request: Fingerprint) {
+    record_crashes(daemon, incarnation, "known_before", &BTreeSet::from([request]));
 }
 
-fn note_ended(
+fn record_crashes(
     daemon: &Daemon,
     incarnation: &Incarnation,
     known_by: &str,
@@ -202,10 +202,10 @@
     if count == 0 {
         return;
     }
-    let named: Vec<String> = requests.iter().take(MOST_LOGGED).map(ToString::to_string).collect();
+    let named: Vec<String> = requests.iter().take(MAX_LOGGED).map(ToString::to_string).collect();
     let (endpoint, born_ms) = (&incarnation.name, incarnation.started_unix_ms);
     tracing::warn!(
         %endpoint, born_ms, known_by, count, requests = ?named, "endpoint: It ended under requests."
     );
-    crashes::ended(daemon, incarnation, requests);
+    crashes::record_crash(daemon, incarnation, requests);
 }
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -17,13 +17,13 @@
 const OVERTIME_MS: u64 = 12_000;
 
 /// Failure of a change whose orders were for an earlier incarnation of the engine.
-const STARTED_AGAIN: &str = "the engine has started again, or is gone";
+const RESTARTED: &str = "the engine has started again, or is gone";
 
 /// Failure of a change at an engine that has reported meanwhile that it is draining.
-const LEAVES: &str = "the engine leaves";
+const DRAINING: &str = "the engine leaves";
 
 /// Failure of a change at an engine whose requested backoff ends after the change's time limit.
-const RESTS: &str = "the engine asks for rest";
+const BACKOFF: &str = "the engine asks for rest";
 
 /// Starts a task that carries out a change.
 pub(crate) fn start(
@@ -53,11 +53,12 @@
     let limit_ms = change.done_at_ms + OVERTIME_MS;
     let failure = loop {
         let (next, not_before_ms) = chain.next();
-        let rests_until_ms = daemon.rests_until_ms(&endpoint);
-        if rests_until_ms > limit_ms {
-            break Some(RESTS.to_owned());
+        let backoff_until_ms = daemon.backoff_until_ms(&endpoint);
+        if backoff_until_ms > limit_ms {
+            break Some(BACKOFF.to_owned());
         }
-        let wait_ms = not_before_ms.max(rests_until_ms).saturating_sub(daemon.shared_view.now_ms());
+        let wait_ms =
+            not_before_ms.max(backoff_until_ms).saturating_sub(daemon.shared_view.now_ms());
         if wait_ms > 0 {
             Timer::after(Duration::from_millis(wait_ms)).await;
             // The engine may have requested a longer backoff meanwhile.
@@ -67,24 +68,25 @@
         if now_ms > limit_ms {
             break Some("it took too long".to_owned());
         }
-        if !daemon.is_listed_start(&endpoint) {
-            break Some(STARTED_AGAIN.to_owned());
+        if !daemon.is_listed_incarnation(&endpoint) {
+            break Some(RESTARTED.to_owned());
         }
-        if matches!(next, NextStep::Send(..)) && !daemon.is_usable_start(&endpoint) {
-            break Some(LEAVES.to_owned());
+        if matches!(next, NextStep::Send(..)) && !daemon.is_usable_incarnation(&endpoint) {
+            break Some(DRAINING.to_owned());
         }
         match next {
             NextStep::Done => break None,
             NextStep::Failed(failure) => break Some(format!("{failure:?}")),
             NextStep::Report => {
-                let report = ask(&daemon, &client, &endpoint).await;
+                let report = request_report(&daemon, &client, &endpoint).await;
                 if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
-                    break Some(STARTED_AGAIN.to_owned());
+                    break Some(RESTARTED.to_owned());
                 }
                 chain.reported(report.as_ref(), daemon.shared_view.now_ms());
             }
             NextStep::Send(order, count) => {
-                let Some(answer) = give(&daemon, &client, &endpoint, &order, count).await else {
+                let Some(answer) = send_order(&daemon, &client, &endpoint, &order, count).await
+                else {
                     break Some("the lease has run out".to_owned());
                 };
                 chain.answered(answer, daemon.shared_view.now_ms());
@@ -103,10 +105,14 @@
         }
     }
     daemon.metrics.record_change(failure.is_none(), change.is_remote, took_ms);
-    daemon.tell(Message::ChangeEnded { service, engine: endpoint.incarnation(), chain });
+    daemon.send(Message::ChangeFinished { service, engine: endpoint.incarnation(), chain });
 }
 
-async fn ask(daemon: &Daemon, client: &CallClient, endpoint: &Endpoint) -> Option<EngineReport> {
+async fn request_report(
+    daemon: &Daemon,
+    client: &CallClient,
+    endpoint: &Endpoint,
+) -> Option<EngineReport> {
     let call = (daemon.wire.endpoint.report_call)();
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => answer,
@@ -126,7 +132,7 @@
 }
 
 /// Sends an order. Returns `None` if no order may be sent now.
-async fn give(
+async fn send_order(
     daemon: &Daemon,
     client: &CallClient,
     endpoint: &Endpoint,
--- a/crates/trestle-entry/src/control/leasing.rs
+++ b/crates/trestle-entry/src/control/group_lease.rs
@@ -26,19 +26,19 @@
 const HOLD_MS: u64 = 2_000;
 /// Longest time that an order may be in transit; no order is sent when less than this is left of
 /// the lease.
-const FLIGHT_MS: u64 = 500;
+const IN_FLIGHT_MS: u64 = 500;
 
 /// The lease on giving orders to one group of engines, as one daemon sees it.
 #[derive(Debug)]
-pub(crate) struct Leasing {
+pub(crate) struct GroupLease {
     daemon: Arc<Daemon>,
     group: DomainName,
     lease: Lease,
     is_acting: bool,
-    is_leaving: bool,
+    is_releasing: bool,
 }
 
-impl Leasing {
+impl GroupLease {
     /// Returns a lease of which no row has been read yet.
     pub(crate) fn new(daemon: Arc<Daemon>, group: DomainName, incarnation: u64) -> Self {
         let settings = &daemon.settings;
@@ -52,10 +52,10 @@
             renew_ms: RENEW_MS,
             hold_ms: HOLD_MS,
             quiet_ms: settings.bounds.order_quiet_ms,
-            in_flight_ms: FLIGHT_MS,
+            in_flight_ms: IN_FLIGHT_MS,
         };
         let lease = Lease::new(identity, timing);
-        Self { daemon, group, lease, is_acting: false, is_leaving: false }
+        Self { daemon, group, lease, is_acting: false, is_releasing: false }
     }
 
     /// Sets the quiet time that the next takeover observes.
@@ -69,16 +69,16 @@
     }
 
     /// Records the row as read from the store or received from a daemon.
-    pub(crate) fn seen(&mut self, row: Option<LeaseRow>, version: u64, now_ms: u64) {
+    pub(crate) fn observe(&mut self, row: Option<LeaseRow>, version: u64, now_ms: u64) {
         if let Some(row) = &row {
-            crashes::heard(&self.daemon, &row.refused);
-            departures::heard(&self.daemon, &row.departures);
+            crashes::receive(&self.daemon, &row.refused);
+            departures::receive(&self.daemon, &row.departures);
         }
         self.lease.observed(row, version, now_ms);
     }
 
     /// Records the outcome of a write. Returns whether the row must be read again.
-    pub(crate) fn written(
+    pub(crate) fn write_finished(
         &mut self,
         write: LeaseWrite,
         outcome: WriteOutcome,
@@ -93,7 +93,7 @@
         match outcome {
             WriteOutcome::Conflict(Some(row)) => {
                 let version = row.version;
-                self.seen(decode(&row.value), version, now_ms);
+                self.observe(decode(&row.value), version, now_ms);
                 false
             }
             WriteOutcome::Conflict(None) | WriteOutcome::Unknown => true,
@@ -101,17 +101,22 @@
         }
     }
 
-    /// Does the work that is due. `may_take` returns whether this daemon may acquire the lease,
+    /// Does the work that is due. `may_acquire` returns whether this daemon may acquire the lease,
     /// given the time since which the lease has been free and the row of its last holder.
-    pub(crate) fn look(&mut self, may_take: impl Fn(u64, Option<&LeaseRow>) -> bool, now_ms: u64) {
-        if self.lease.has_run_out(now_ms) && !self.is_leaving {
+    pub(crate) fn tick(
+        &mut self,
+        may_acquire: impl Fn(u64, Option<&LeaseRow>) -> bool,
+        now_ms: u64,
+    ) {
+        if self.lease.has_run_out(now_ms) && !self.is_releasing {
             self.lease.resign(now_ms);
             tracing::info!(group = %self.group, "lease: The lease has expired; this daemon steps down.");
         }
-        let may_write = self.lease.is_holder(now_ms) || self.is_leaving;
+        let may_write = self.lease.is_holder(now_ms) || self.is_releasing;
         let last = self.lease.seen().map(|(row, _)| row);
-        let may_take = || self.lease.free_from_ms().is_some_and(|free_ms| may_take(free_ms, last));
-        if (may_write || (may_take() && self.daemon.store.may_try()))
+        let may_acquire =
+            || self.lease.free_from_ms().is_some_and(|free_ms| may_acquire(free_ms, last));
+        if (may_write || (may_acquire() && self.daemon.store.may_try()))
             && let Some(mut write) = self.lease.due_write(now_ms)
         {
             write.row.refused = crashes::refused_for_row(&self.daemon);
@@ -121,9 +126,9 @@
         }
         let (from_ms, held_until_ms) = self.lease.order_window();
         let token = self.lease.seen().map_or(0, |(row, _)| row.token);
-        let window = (from_ms, held_until_ms.saturating_sub(FLIGHT_MS));
+        let window = (from_ms, held_until_ms.saturating_sub(IN_FLIGHT_MS));
         self.daemon.order_permits.set(&self.group, token, window, held_until_ms);
-        self.note_change(now_ms);
+        self.log_role_change(now_ms);
     }
 
     /// Returns the report to other daemons after this daemon has stepped down.
@@ -136,18 +141,18 @@
     }
 
     /// Records the report of a leader that has stepped down.
-    pub(crate) fn heard(&mut self, resignation: Resignation, now_ms: u64) {
+    pub(crate) fn resignation_received(&mut self, resignation: Resignation, now_ms: u64) {
         self.lease.resignation_received(resignation, now_ms);
     }
 
     /// Releases the lease, and never acquires it again.
-    pub(crate) fn leave(&mut self) {
-        self.is_leaving = true;
+    pub(crate) fn release(&mut self) {
+        self.is_releasing = true;
         self.lease.release();
     }
 
     /// Returns whether nothing is left to write before the daemon may terminate.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn is_release_done(&self) -> bool {
         self.lease.is_release_done()
     }
 
@@ -180,7 +185,7 @@
         }
     }
 
-    fn note_change(&mut self, now_ms: u64) {
+    fn log_role_change(&mut self, now_ms: u64) {
         let is_holder = self.lease.is_holder(now_ms);
         if self.is_acting == is_holder {
             return;
@@ -206,7 +211,7 @@
     };
     let conditional = ConditionalWrite { key, expected: write.expected, value };
     let outcome = daemon.store.write(&conditional).await;
-    daemon.tell(Message::LeaseWritten { group, write, outcome, sent_ms });
+    daemon.send(Message::LeaseWritten { group, write, outcome, sent_ms });
 }
 
 /// Returns the partition of a group's lease row. Each group has its own, because the store
@@ -219,7 +224,7 @@
 
 /// Returns the lease among the rows of its group's partition, with its version; version 0 if there
 /// is none.
-pub(crate) fn among(group: &DomainName, rows: &[Row]) -> (Option<LeaseRow>, u64) {
+pub(crate) fn find(group: &DomainName, rows: &[Row]) -> (Option<LeaseRow>, u64) {
     let is_lease = |row: &&Row| row.key.key.strip_prefix(KEY) == Some(group.as_str());
     rows.iter().find(is_lease).map_or((None, 0), |row| (decode(&row.value), row.version))
 }
--- a/crates/trestle-entry/src/control/answers.rs
+++ b/crates/trestle-entry/src/control/held_answers.rs
@@ -18,139 +18,141 @@
 use trestle_wire::{relay::WireHave, replicas::WireSynced};
 
 /// Longest time to hold an answer about new demand: another leader plans within some 30 ms.
-const NEW_MS: u64 = 100;
+const MAX_HOLD_NEW_MS: u64 = 100;
 /// Longest time to hold an answer about known demand: engine loads and changes in the store must
 /// be reported meanwhile.
-const KNOWN_MS: u64 = 120;
+const MAX_HOLD_KNOWN_MS: u64 = 120;
 
 /// A requester whose answer is held.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct HeldAnswer {
     /// The daemon that sent the request.
-    pub(crate) teller: VmName,
+    pub(crate) requester: VmName,
     /// The group whose leader the requester addressed.
     pub(crate) group: String,
     /// Whether the requester sent the request as a leader.
     pub(crate) is_leader: bool,
     /// The channel for the answer.
     pub(crate) reply: Sender<WireSynced>,
-    have: WireHave,
-    told: BTreeMap<ServiceName, Told>,
-    asked_ms: u64,
+    positions: WireHave,
+    reported: BTreeMap<ServiceName, ReportedDemand>,
+    requested_ms: u64,
     /// Whether the requester waits for something about which it has not been answered before.
-    is_new: bool,
+    has_new_demand: bool,
     /// Whether something that the requester waits for has arrived.
-    has_news: bool,
+    has_arrival: bool,
 }
 
 /// The demand that a requester reported for one service.
 #[derive(Debug, Default)]
-struct Told {
+struct ReportedDemand {
     /// The number of the demand report.
     number: u64,
     /// Models that the requester waits for.
     models: BTreeSet<ModelName>,
     /// Models that the requester waits for, with the adapter where that is missing.
-    wishes: BTreeSet<Loadable>,
+    demand: BTreeSet<Loadable>,
 }
 
 /// Requesters whose answers are held.
 #[derive(Debug, Default)]
-pub(crate) struct Pendings {
-    all: Vec<Pending>,
+pub(crate) struct HeldAnswers {
+    all: Vec<HeldAnswer>,
     /// The demand of the last answered request, by requester and service.
     answered: BTreeMap<(VmName, ServiceName), BTreeSet<Loadable>>,
 }
 
 /// An empty set of models.
-static NOTHING: BTreeSet<ModelName> = BTreeSet::new();
+static NO_MODELS: BTreeSet<ModelName> = BTreeSet::new();
 
-impl Pending {
+impl HeldAnswer {
     /// Returns a requester that has not reported any demand yet.
     pub(crate) fn new(
-        teller: VmName,
+        requester: VmName,
         group: String,
         is_leader: bool,
-        have: WireHave,
+        positions: WireHave,
         reply: Sender<WireSynced>,
         now_ms: u64,
     ) -> Self {
         Self {
-            teller,
+            requester,
             group,
             is_leader,
             reply,
-            have,
-            told: BTreeMap::new(),
-            asked_ms: now_ms,
-            is_new: false,
-            has_news: false,
+            positions,
+            reported: BTreeMap::new(),
+            requested_ms: now_ms,
+            has_new_demand: false,
+            has_arrival: false,
         }
     }
 
     /// Records the demand that the requester reported for a service.
-    pub(crate) fn told(&mut self, service: &ServiceName, digest: &DemandReport) {
-        let wishes: BTreeSet<Loadable> = digest.waiting.iter().map(Waiting::loadable).collect();
-        let models = wishes.iter().map(|wish| wish.model.clone()).collect();
-        self.told.insert(service.clone(), Told { number: digest.number, models, wishes });
+    pub(crate) fn add_demand(&mut self, service: &ServiceName, report: &DemandReport) {
+        let demand: BTreeSet<Loadable> = report.waiting.iter().map(Waiting::loadable).collect();
+        let models = demand.iter().map(|loadable| loadable.model.clone()).collect();
+        self.reported
+            .insert(service.clone(), ReportedDemand { number: report.number, models, demand });
     }
 
     /// Returns the position that the requester has reached in a service's placement log.
     pub(crate) fn position(&self, service: &ServiceName) -> PlacementPosition {
-        let have = self.have.placements.get(service.as_str());
-        have.copied().unwrap_or_default().into()
+        let positions = self.positions.placements.get(service.as_str());
+        positions.copied().unwrap_or_default().into()
     }
 
     /// Returns the models of a service that the requester waits for.
     pub(crate) fn models(&self, service: &ServiceName) -> &BTreeSet<ModelName> {
-        self.told.get(service).map_or(&NOTHING, |told| &told.models)
+        self.reported.get(service).map_or(&NO_MODELS, |reported| &reported.models)
     }
 
     /// Returns whether the reported demand has been planned with. `planned` returns the number of
     /// a requester's last demand report that was included in a plan.
     fn is_planned(&self, planned: impl Fn(&ServiceName, &VmName) -> u64) -> bool {
-        let mut waiting = self.told.iter().filter(|(_, told)| !told.models.is_empty());
-        waiting.all(|(service, told)| planned(service, &self.teller) >= told.number)
+        let mut waiting = self.reported.iter().filter(|(_, reported)| !reported.models.is_empty());
+        waiting.all(|(service, reported)| planned(service, &self.requester) >= reported.number)
     }
 
-    fn waits(&self) -> bool {
-        self.told.values().any(|told| !told.wishes.is_empty())
+    fn has_demand(&self) -> bool {
+        self.reported.values().any(|reported| !reported.demand.is_empty())
     }
 
     fn until_ms(&self) -> u64 {
-        self.asked_ms + if self.is_new { NEW_MS } else { KNOWN_MS }
+        self.requested_ms + if self.has_new_demand { MAX_HOLD_NEW_MS } else { MAX_HOLD_KNOWN_MS }
     }
 
     /// Returns whether the answer is due now.
     fn is_due(&self, now_ms: u64, planned: impl Fn(&ServiceName, &VmName) -> u64) -> bool {
-        let asks_anew = self.is_new || !self.waits();
-        self.has_news || (asks_anew && self.is_planned(planned)) || now_ms >= self.until_ms()
+        let awaits_plan = self.has_new_demand || !self.has_demand();
+        self.has_arrival || (awaits_plan && self.is_planned(planned)) || now_ms >= self.until_ms()
     }
 }
 
-impl Pendings {
+impl HeldAnswers {
     /// Holds the answer to a requester.
-    pub(crate) fn push(&mut self, mut pending: Pending) {
-        let teller = &pending.teller;
-        let mut told = pending.told.iter();
-        pending.is_new = told.any(|(service, told)| {
-            let before = self.answered.get(&(teller.clone(), service.clone()));
-            !before.is_some_and(|before| told.wishes.is_subset(before))
+    pub(crate) fn push(&mut self, mut held: HeldAnswer) {
+        let requester = &held.requester;
+        let mut reported = held.reported.iter();
+        held.has_new_demand = reported.any(|(service, reported)| {
+            let before = self.answered.get(&(requester.clone(), service.clone()));
+            !before.is_some_and(|before| reported.demand.is_subset(before))
         });
-        self.all.push(pending);
+        self.all.push(held);
     }
 
     /// Records which models engines of a service have become able to run, as sent to leaders or to
     /// other daemons.
-    pub(crate) fn arrived(
+    pub(crate) fn record_arrivals(
         &mut self,
         service: &ServiceName,
         is_leader: bool,
         arrived: &BTreeSet<Loadable>,
     ) {
-        for pending in self.all.iter_mut().filter(|pending| pending.is_leader == is_leader) {
-            let told = pending.told.get(service);
-            pending.has_news |= told.is_some_and(|told| !told.wishes.is_disjoint(arrived));
+        for held in self.all.iter_mut().filter(|held| held.is_leader == is_leader) {
+            let reported = held.reported.get(service);
+            held.has_arrival |=
+                reported.is_some_and(|reported| !reported.demand.is_disjoint(arrived));
         }
     }
 
@@ -159,13 +161,13 @@
         &mut self,
         now_ms: u64,
         planned: impl Fn(&ServiceName, &VmName) -> u64,
-    ) -> Vec<Pending> {
-        let is_due = |pending: &mut Pending| pending.is_due(now_ms, &planned);
-        let due: Vec<Pending> = self.all.extract_if(.., is_due).collect();
-        for pending in &due {
-            for (service, told) in &pending.told {
-                let key = (pending.teller.clone(), service.clone());
-                self.answered.insert(key, told.wishes.clone());
+    ) -> Vec<HeldAnswer> {
+        let is_due = |held: &mut HeldAnswer| held.is_due(now_ms, &planned);
+        let due: Vec<HeldAnswer> = self.all.extract_if(.., is_due).collect();
+        for held in &due {
+            for (service, reported) in &held.reported {
+                let key = (held.requester.clone(), service.clone());
+                self.answered.insert(key, reported.demand.clone());
             }
         }
         due
@@ -183,7 +185,7 @@
 
     /// Returns the time until the first answer reaches its time limit.
     pub(crate) fn due_in_ms(&self, now_ms: u64) -> u64 {
-        let due = self.all.iter().map(|pending| pending.until_ms().saturating_sub(now_ms));
+        let due = self.all.iter().map(|held| held.until_ms().saturating_sub(now_ms));
         due.min().unwrap_or(u64::MAX)
     }
 }
--- a/crates/trestle-entry/src/control/leaders.rs
+++ b/crates/trestle-entry/src/control/leaders.rs
@@ -15,14 +15,14 @@
         if !self.leases.is_leading(now_ms) {
             return BTreeMap::new();
         }
-        let others = self.leases.others(now_ms);
-        self.others.keep(&others);
+        let others = self.leases.other_leaders(now_ms);
+        self.others.update(&others);
         others
     }
 
     /// Returns the sync request to another leader, and whether it holds demand with which that
     /// leader has not planned yet.
-    pub(super) fn ask_other(
+    pub(super) fn request_to_other(
         &mut self,
         address: SocketAddr,
         group: &DomainName,
@@ -30,58 +30,58 @@
         let now_ms = self.now_ms();
         let mut digests = Vec::new();
         let mut placements = BTreeMap::new();
-        let mut is_new = false;
+        let mut has_new_demand = false;
         if let Some(other) = self.others.get(address) {
             for (service, state) in &self.services {
-                let directory = self.daemon.usable(service);
-                digests.push(other.digest(service, state, &directory, now_ms));
+                let directory = self.daemon.usable_endpoints(service);
+                digests.push(other.demand_report(service, state, &directory, now_ms));
             }
             let positions = other.placements();
             let positions =
                 positions.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
             placements = positions.collect();
-            is_new = !other.has_planned();
+            has_new_demand = !other.has_planned();
         }
-        let nothing = WireHave {
+        let have = WireHave {
             endpoints: u64::MAX,
             config: u64::MAX,
             refused: 0,
             departures: true,
             placements,
         };
-        let asking = WireAsking {
+        let request = WireAsking {
             vm: self.daemon.settings.vm.clone(),
             group: group.to_string(),
             is_leader: true,
             members: self.members.count(now_ms) as u32,
             digests,
             crashes: Vec::new(),
-            have: nothing,
+            have: have,
         };
-        (asking, is_new)
+        (request, has_new_demand)
     }
 
     /// Handles the answer of the leader at an address, or its absence.
-    pub(super) fn other_answered(&mut self, address: SocketAddr, answer: Option<WireSynced>) {
+    pub(super) fn record_other_answer(&mut self, address: SocketAddr, answer: Option<WireSynced>) {
         let now_ms = self.now_ms();
         let Some(answer) = answer else {
-            self.leases.leader_silent(now_ms);
+            self.leases.leader_unresponsive(now_ms);
             return;
         };
         for (group, resigned) in &answer.resigned {
             let (resignation, engines) = resigned.clone().into();
-            self.resigned(&group.as_str().into(), resignation, &engines, now_ms);
+            self.leader_resigned(&group.as_str().into(), resignation, &engines, now_ms);
         }
         if !answer.is_leader {
-            self.leases.leader_silent(now_ms);
+            self.leases.leader_unresponsive(now_ms);
         }
-        self.leases.told(answer.leases.clone(), now_ms);
-        self.others.answered(address, answer, now_ms);
+        self.leases.receive(answer.leases.clone(), now_ms);
+        self.others.record_answer(address, answer, now_ms);
         self.is_plan_due = true;
     }
 
     /// Records the report of a leader that has stepped down from a group.
-    pub(super) fn resigned(
+    pub(super) fn leader_resigned(
         &mut self,
         group: &DomainName,
         resignation: Resignation,
@@ -89,6 +89,6 @@
         now_ms: u64,
     ) {
         self.daemon.with_order_log(|log| log.quiet_times_received(engines, now_ms));
-        self.leases.heard(group, resignation, now_ms);
+        self.leases.resignation_received(group, resignation, now_ms);
     }
 }
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     control::{
-        leasing::{self, Leasing, TABLE},
+        group_lease::{self, GroupLease, TABLE},
         message::{Leader, Message},
     },
     daemon::Daemon,
@@ -40,7 +40,7 @@
     groups: Groups,
     /// The group whose leader this daemon queries, and since when.
     home: Option<(DomainName, u64)>,
-    by_group: BTreeMap<DomainName, Leasing>,
+    by_group: BTreeMap<DomainName, GroupLease>,
     decision_leaders: DecisionLeaders,
     quiet_ms: u64,
     next_read_ms: u64,
@@ -52,7 +52,7 @@
     /// Since when this daemon has been ready to lead; `None` while it is not.
     ready_since_ms: Option<u64>,
     is_acting: bool,
-    left: Option<Sender<()>>,
+    released: Option<Sender<()>>,
 }
 
 impl Leases {
@@ -74,7 +74,7 @@
             others_read_ms: None,
             ready_since_ms: None,
             is_acting: false,
-            left: None,
+            released: None,
             daemon,
         }
     }
@@ -82,16 +82,16 @@
     /// Sets the quiet time that the next takeovers observe.
     pub(crate) fn set_quiet_ms(&mut self, quiet_ms: u64) {
         self.quiet_ms = quiet_ms;
-        self.by_group.values_mut().for_each(|leasing| leasing.set_quiet_ms(quiet_ms));
+        self.by_group.values_mut().for_each(|lease| lease.set_quiet_ms(quiet_ms));
     }
 
     /// Sets how many daemons query this one.
     pub(crate) fn set_daemons(&mut self, daemons: usize, now_ms: u64) {
         let led = self.led(now_ms);
         let each = daemons.div_ceil(led.len().max(1)) as u32;
-        for (group, leasing) in &mut self.by_group {
+        for (group, lease) in &mut self.by_group {
             if led.contains(group) {
-                leasing.set_daemons(each);
+                lease.set_daemons(each);
             }
         }
     }
@@ -104,15 +104,15 @@
     }
 
     /// Records leases as sent by their holder.
-    pub(crate) fn told(&mut self, leases: Vec<WireGroupLease>, now_ms: u64) {
-        for lease in leases {
-            let leasing = self.leasing(&lease.group.into());
-            leasing.seen(Some(lease.row.into()), lease.version, now_ms);
+    pub(crate) fn receive(&mut self, leases: Vec<WireGroupLease>, now_ms: u64) {
+        for received in leases {
+            let lease = self.lease(&received.group.into());
+            lease.observe(Some(received.row.into()), received.version, now_ms);
         }
     }
 
     /// Records leases as read from the store.
-    pub(crate) fn read(
+    pub(crate) fn record_rows(
         &mut self,
         rows: BTreeMap<DomainName, (Option<LeaseRow>, u64)>,
         now_ms: u64,
@@ -120,20 +120,20 @@
         self.is_reading = false;
         for (group, (row, version)) in rows {
             self.to_read.remove(&group);
-            self.leasing(&group).seen(row, version, now_ms);
+            self.lease(&group).observe(row, version, now_ms);
         }
-        self.note_read();
+        self.record_read_attempt();
     }
 
     /// Records that the leases could not be read.
-    pub(crate) fn unread(&mut self, now_ms: u64) {
+    pub(crate) fn record_read_failure(&mut self, now_ms: u64) {
         self.is_reading = false;
         self.next_read_ms = now_ms + READ_GAP_MS;
-        self.note_read();
+        self.record_read_attempt();
     }
 
     /// Records in the local view that a read of the lease rows was tried.
-    fn note_read(&self) {
+    fn record_read_attempt(&self) {
         let is_first =
             |local_view: &mut LocalView| !std::mem::replace(&mut local_view.are_leases_read, true);
         if self.daemon.shared_view.with(is_first) {
@@ -142,7 +142,7 @@
     }
 
     /// Handles a leader that does not answer.
-    pub(crate) fn leader_silent(&mut self, now_ms: u64) {
+    pub(crate) fn leader_unresponsive(&mut self, now_ms: u64) {
         if now_ms < self.next_read_ms {
             return;
         }
@@ -153,12 +153,12 @@
             self.others_read_ms = None;
         }
         let others = self.by_group.iter();
-        let others = others.filter(|(_, leasing)| reads_all || leasing.seen_row().is_none());
+        let others = others.filter(|(_, lease)| reads_all || lease.seen_row().is_none());
         self.to_read.extend(others.map(|(group, _)| group.clone()));
     }
 
     /// Records the outcome of a write.
-    pub(crate) fn written(
+    pub(crate) fn write_finished(
         &mut self,
         group: &DomainName,
         write: LeaseWrite,
@@ -166,42 +166,49 @@
         sent_ms: u64,
         now_ms: u64,
     ) {
-        if self.leasing(group).written(write, outcome, sent_ms, now_ms) {
+        if self.lease(group).write_finished(write, outcome, sent_ms, now_ms) {
             self.to_read.insert(group.clone());
         }
     }
 
     /// Records the report of a leader that has stepped down.
-    pub(crate) fn heard(&mut self, group: &DomainName, resignation: Resignation, now_ms: u64) {
-        self.leasing(group).heard(resignation, now_ms);
+    pub(crate) fn resignation_received(
+        &mut self,
+        group: &DomainName,
+        resignation: Resignation,
+        now_ms: u64,
+    ) {
+        self.lease(group).resignation_received(resignation, now_ms);
     }
 
-    fn leasing(&mut self, group: &DomainName) -> &mut Leasing {
+    fn lease(&mut self, group: &DomainName) -> &mut GroupLease {
         let make = || {
-            let mut leasing =
-                Leasing::new(Arc::clone(&self.daemon), group.clone(), self.incarnation);
-            leasing.set_quiet_ms(self.quiet_ms);
-            leasing
+            let mut lease =
+                GroupLease::new(Arc::clone(&self.daemon), group.clone(), self.incarnation);
+            lease.set_quiet_ms(self.quiet_ms);
+            lease
         };
         self.by_group.entry(group.clone()).or_insert_with(make)
     }
 
     /// Does the work that is due.
-    pub(crate) fn look(&mut self, now_ms: u64) {
+    pub(crate) fn tick(&mut self, now_ms: u64) {
         match self.daemon.is_ready() {
             true => _ = self.ready_since_ms.get_or_insert(now_ms),
             false => self.ready_since_ms = None,
         }
-        self.follow_groups(now_ms);
+        self.update_groups(now_ms);
         self.read_if_due(now_ms);
         let led = self.led(now_ms);
         let millicores = self.daemon.settings.millicores();
-        for (group, leasing) in &mut self.by_group {
-            let others_first_ms = self.groups.takeover_delay_ms(group, &self.domain, &led, now_ms);
+        for (group, lease) in &mut self.by_group {
+            let takeover_delay_ms =
+                self.groups.takeover_delay_ms(group, &self.domain, &led, now_ms);
             let home_since_ms =
                 self.home.as_ref().filter(|(home, _)| home == group).map(|(_, since_ms)| *since_ms);
-            let may_take = |free_from_ms: u64, last: Option<&LeaseRow>| {
-                let (Some(ready_since_ms), Some(wait_ms)) = (self.ready_since_ms, others_first_ms)
+            let may_acquire = |free_from_ms: u64, last: Option<&LeaseRow>| {
+                let (Some(ready_since_ms), Some(wait_ms)) =
+                    (self.ready_since_ms, takeover_delay_ms)
                 else {
                     return false;
                 };
@@ -217,23 +224,23 @@
                 };
                 now_ms >= from_ms + wait_ms
             };
-            leasing.look(may_take, now_ms);
+            lease.tick(may_acquire, now_ms);
         }
         let held = self.daemon.order_permits.held(now_ms);
         let groups = self.groups.max_groups();
-        self.daemon.with_lender(|quota_allocator| {
+        self.daemon.with_quota_allocator(|quota_allocator| {
             quota_allocator.set_group_count(groups);
             quota_allocator.set_leases(&held, now_ms);
         });
-        self.note_acting(now_ms);
-        self.note_deciders(now_ms);
-        let has_left = self.by_group.values().all(Leasing::has_left);
-        if let Some(left) = self.left.take_if(|_| has_left) {
-            let _ = left.try_send(());
+        self.update_acting(now_ms);
+        self.update_decision_leaders(now_ms);
+        let is_release_done = self.by_group.values().all(GroupLease::is_release_done);
+        if let Some(released) = self.released.take_if(|_| is_release_done) {
+            let _ = released.try_send(());
         }
     }
 
-    fn follow_groups(&mut self, now_ms: u64) {
+    fn update_groups(&mut self, now_ms: u64) {
         let (domains, engines) = self.daemon.shared_view.with(|local_view| {
             (local_view.directory.domains(), local_view.directory.iter().count())
         });
@@ -247,7 +254,7 @@
         needed.insert(home);
         for group in needed {
             if !self.by_group.contains_key(&group) {
-                self.leasing(&group);
+                self.lease(&group);
                 // A daemon that leads no group receives the row from its leader.
                 if self.is_acting {
                     self.to_read.insert(group);
@@ -265,30 +272,30 @@
         }
     }
 
-    fn note_acting(&mut self, now_ms: u64) {
+    fn update_acting(&mut self, now_ms: u64) {
         let is_acting = self.is_leading(now_ms);
         if self.is_acting != is_acting {
             self.is_acting = is_acting;
             self.daemon.freshness.set_leader(is_acting);
             if is_acting {
                 // A leader queries the other leaders, and acquires groups that have no leader.
-                let unseen = self.by_group.iter();
-                let unseen = unseen.filter(|(_, leasing)| leasing.seen_row().is_none());
-                self.to_read.extend(unseen.map(|(group, _)| group.clone()));
+                let unread = self.by_group.iter();
+                let unread = unread.filter(|(_, lease)| lease.seen_row().is_none());
+                self.to_read.extend(unread.map(|(group, _)| group.clone()));
                 self.next_read_ms = self.next_read_ms.min(now_ms);
             }
         }
     }
 
     /// Releases all leases, and sends a reply once that is done.
-    pub(crate) fn leave(&mut self, reply: Sender<()>) {
-        self.by_group.values_mut().for_each(Leasing::leave);
-        self.left = Some(reply);
+    pub(crate) fn release(&mut self, reply: Sender<()>) {
+        self.by_group.values_mut().for_each(GroupLease::release);
+        self.released = Some(reply);
     }
 
     /// Returns whether this daemon holds any lease.
     pub(crate) fn is_leading(&self, now_ms: u64) -> bool {
-        self.by_group.values().any(|leasing| leasing.is_holder(now_ms))
+        self.by_group.values().any(|lease| lease.is_holder(now_ms))
     }
 
     /// Returns whether this daemon held a lease at the last check.
@@ -298,19 +305,19 @@
 
     /// Returns the groups whose leases this daemon holds.
     pub(crate) fn led(&self, now_ms: u64) -> BTreeSet<DomainName> {
-        let led = self.by_group.iter().filter(|(_, leasing)| leasing.is_holder(now_ms));
+        let led = self.by_group.iter().filter(|(_, lease)| lease.is_holder(now_ms));
         led.map(|(group, _)| group.clone()).collect()
     }
 
     /// Returns the lease rows for a requester that addressed a group's leader: those held by this
     /// daemon, and that of the group.
     pub(crate) fn rows_for(&self, group: &str, now_ms: u64) -> Vec<WireGroupLease> {
-        let told = self
+        let sent = self
             .by_group
             .iter()
-            .filter(|(name, leasing)| leasing.is_holder(now_ms) || name.as_str() == group);
-        let rows = told.filter_map(|(group, leasing)| {
-            let (mut row, version) = leasing.row()?;
+            .filter(|(name, lease)| lease.is_holder(now_ms) || name.as_str() == group);
+        let rows = sent.filter_map(|(group, lease)| {
+            let (mut row, version) = lease.row()?;
             // These lists are sent once per requester, not with each answer.
             row.refused.clear();
             row.departures.clear();
@@ -324,7 +331,7 @@
         let each = self
             .by_group
             .iter()
-            .filter_map(|(group, leasing)| Some((group.to_string(), leasing.resignation(now_ms)?)));
+            .filter_map(|(group, lease)| Some((group.to_string(), lease.resignation(now_ms)?)));
         each.collect()
     }
 
@@ -335,19 +342,19 @@
     /// knows the contents of the store and where models are loaded; daemons spread over these
     /// leaders.
     pub(crate) fn leader(&self, attempt: usize, now_ms: u64) -> Leader {
-        let mut leading = self.by_group.values().map(|leasing| leasing.leader(now_ms));
+        let mut leading = self.by_group.values().map(|lease| lease.leader(now_ms));
         if let Some(here) = leading.find(|leader| matches!(leader, Leader::Here { .. })) {
             return here;
         }
         let home = self.groups.home_group(&self.domain);
-        let at_home = self.by_group.get(home).map(|leasing| leasing.leader(now_ms));
+        let at_home = self.by_group.get(home).map(|lease| lease.leader(now_ms));
         let at_home = at_home.into_iter().filter(|leader| *leader != Leader::Nobody);
         let vm = self.daemon.settings.vm.as_str();
         let mut others: Vec<(u64, Leader)> = self
             .by_group
             .iter()
             .filter(|(group, _)| *group != home)
-            .map(|(group, leasing)| (groups::rank(vm, group), leasing.leader(now_ms)))
+            .map(|(group, lease)| (groups::rank(vm, group), lease.leader(now_ms)))
             .filter(|(_, leader)| *leader != Leader::Nobody)
             .collect();
         others.sort_by_key(|(rank, _)| *rank);
@@ -359,17 +366,17 @@
     /// Returns the leader that makes the decisions on a name for all daemons, and since when if
     /// another leader may have made them before. Leaders know of the same groups, so they agree on
     /// it.
-    pub(crate) fn decider(&mut self, name: &str, now_ms: u64) -> (Leader, Option<u64>) {
-        self.note_deciders(now_ms);
+    pub(crate) fn decision_leader(&mut self, name: &str, now_ms: u64) -> (Leader, Option<u64>) {
+        self.update_decision_leaders(now_ms);
         let group = self.decision_leaders.group_for(name);
         let leader = group.map_or(Leader::Nobody, |group| self.leader_of(group, now_ms));
         (leader, self.decision_leaders.decides_since_ms(name))
     }
 
-    fn note_deciders(&mut self, now_ms: u64) {
+    fn update_decision_leaders(&mut self, now_ms: u64) {
         let here = self.daemon.peers_address();
-        for (group, leasing) in &self.by_group {
-            let leader = match leasing.leader(now_ms) {
+        for (group, lease) in &self.by_group {
+            let leader = match lease.leader(now_ms) {
                 Leader::Here { token, .. } => Some((here, token)),
                 Leader::At { address, token, .. } => Some((address, token)),
                 Leader::Nobody => None,
@@ -380,14 +387,14 @@
 
     /// Returns where the leader of a group is.
     pub(crate) fn leader_of(&self, group: &DomainName, now_ms: u64) -> Leader {
-        let leasing = self.by_group.get(group);
-        leasing.map_or(Leader::Nobody, |leasing| leasing.leader(now_ms))
+        let lease = self.by_group.get(group);
+        lease.map_or(Leader::Nobody, |lease| lease.leader(now_ms))
     }
 
     /// Returns the addresses of other leaders, each with a group that it leads and its fencing
     /// number there.
-    pub(crate) fn others(&self, now_ms: u64) -> BTreeMap<SocketAddr, (DomainName, u64)> {
-        let each = self.by_group.values().filter_map(|leasing| match leasing.leader(now_ms) {
+    pub(crate) fn other_leaders(&self, now_ms: u64) -> BTreeMap<SocketAddr, (DomainName, u64)> {
+        let each = self.by_group.values().filter_map(|lease| match lease.leader(now_ms) {
             Leader::At { address, group, token } => Some((address, (group, token))),
             Leader::Here { .. } | Leader::Nobody => None,
         });
@@ -398,17 +405,17 @@
 async fn read(daemon: Arc<Daemon>, groups: BTreeSet<DomainName>) {
     let mut rows = BTreeMap::new();
     for group in groups {
-        match daemon.store.read(TABLE, leasing::partition(&group)).await {
+        match daemon.store.read(TABLE, group_lease::partition(&group)).await {
             Ok(page) => {
-                let lease = leasing::among(&group, &page.rows);
+                let lease = group_lease::find(&group, &page.rows);
                 rows.insert(group, lease);
             }
             Err(error) => {
                 tracing::warn!(%error, "lease: The lease rows cannot be read.");
-                daemon.tell(Message::LeasesUnread);
+                daemon.send(Message::LeaseReadFailed);
                 return;
             }
         }
     }
-    daemon.tell(Message::LeasesRead(rows));
+    daemon.send(Message::LeasesRead(rows));
 }
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -19,16 +19,16 @@
     /// A sync request from another daemon, or from this one.
     Sync {
         /// The reported demand, and what the sender already has.
-        asking: WireAsking,
+        request: WireAsking,
         /// The channel for the answer.
         reply: Sender<WireSynced>,
     },
     /// Lease rows as sent by their holder.
-    LeasesTold(Vec<WireGroupLease>),
+    LeasesReceived(Vec<WireGroupLease>),
     /// Lease rows as read from the store, by group, with their versions.
     LeasesRead(BTreeMap<DomainName, (Option<LeaseRow>, u64)>),
     /// The lease rows could not be read from the store.
-    LeasesUnread,
+    LeaseReadFailed,
     /// A write of a lease row has finished.
     LeaseWritten {
         /// The group whose lease it is.
@@ -50,16 +50,16 @@
         engines: BTreeMap<EndpointName, u64>,
     },
     /// A leader does not answer.
-    LeaderSilent,
+    LeaderUnresponsive,
     /// Asks which leader this daemon should query.
-    Leader {
+    LeaderToQuery {
         /// Number of consecutive leaders that did not answer; each selects the next leader.
         attempt: usize,
         /// The channel for the answer.
         reply: Sender<Leader>,
     },
     /// Asks which leader makes the decisions on a name for all daemons.
-    LeaderFor {
+    DecisionLeader {
         /// The name.
         name: String,
         /// The channel for the answer: the leader, and since when it makes these decisions if
@@ -67,7 +67,7 @@
         reply: Sender<(Leader, Option<u64>)>,
     },
     /// Asks where the leader of a group is.
-    LeaderOf {
+    GroupLeader {
         /// The group.
         group: DomainName,
         /// The channel for the answer.
@@ -77,7 +77,7 @@
     /// leads and its fencing number there.
     OtherLeaders(Sender<BTreeMap<SocketAddr, (DomainName, u64)>>),
     /// Asks for the sync request to another leader.
-    AskOther {
+    OtherLeaderRequest {
         /// The address of the other leader.
         address: SocketAddr,
         /// A group that the other leader leads.
@@ -87,14 +87,14 @@
         reply: Sender<(WireAsking, bool)>,
     },
     /// Another leader has answered a sync request, or failed to.
-    OtherAnswered {
+    OtherLeaderAnswered {
         /// The address of the other leader.
         address: SocketAddr,
         /// The answer; `None` if there was none.
         answer: Option<WireSynced>,
     },
     /// A change at an engine has finished.
-    ChangeEnded {
+    ChangeFinished {
         /// The engine's service.
         service: ServiceName,
         /// The incarnation of the engine to which the orders were sent.
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -4,22 +4,22 @@
 //! decides with the functions of `trestle_dispatch`, and leaves everything that takes time to
 //! tasks that send their results back as messages.
 
-mod answering;
-mod answers;
 pub(crate) mod change;
+pub(crate) mod group_lease;
+mod held_answers;
 mod leaders;
 mod leases;
-pub(crate) mod leasing;
 pub(crate) mod message;
-mod others;
+mod other_leaders;
 pub(crate) mod permit;
 mod planning;
-mod telling;
+mod service_view;
+mod sync_requests;
 
 use crate::{
     control::{
-        answers::Pendings, leases::Leases, message::Message, others::Others, planning::PLAN_GAP_MS,
-        telling::Telling,
+        held_answers::HeldAnswers, leases::Leases, message::Message, other_leaders::OtherLeaders,
+        planning::PLAN_GAP_MS, service_view::ServiceView,
     },
     daemon::Daemon,
 };
@@ -46,10 +46,10 @@
     daemon: Arc<Daemon>,
     leases: Leases,
     services: BTreeMap<ServiceName, ServiceState>,
-    telling: BTreeMap<ServiceName, Telling>,
-    others: Others,
+    service_views: BTreeMap<ServiceName, ServiceView>,
+    others: OtherLeaders,
     members: MemberCount,
-    pendings: Pendings,
+    held_answers: HeldAnswers,
     planned_ms: u64,
     plan_gap_ms: u64,
     is_plan_due: bool,
@@ -66,10 +66,10 @@
         daemon,
         leases,
         services: BTreeMap::new(),
-        telling: BTreeMap::new(),
-        others: Others::default(),
+        service_views: BTreeMap::new(),
+        others: OtherLeaders::default(),
         members: MemberCount::default(),
-        pendings: Pendings::default(),
+        held_answers: HeldAnswers::default(),
         planned_ms: 0,
         plan_gap_ms: PLAN_GAP_MS,
         is_plan_due: false,
@@ -82,22 +82,22 @@
 
 impl Control {
     async fn run(mut self, messages: Receiver<Message>) {
-        self.look();
+        self.tick();
         loop {
-            let tick_ms = self.until_next_look();
+            let tick_ms = self.until_next_tick_ms();
             let tick = async {
                 Timer::after(Duration::from_millis(tick_ms)).await;
                 Ok(Message::Tick)
             };
             match messages.recv().or(tick).await {
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle(message),
                 Err(_) => return,
             }
-            self.look();
+            self.tick();
         }
     }
 
-    fn until_next_look(&self) -> u64 {
+    fn until_next_tick_ms(&self) -> u64 {
         let now_ms = self.now_ms();
         let tick_ms = match self.leases.is_leading(now_ms) {
             true => HOLDER_TICK_MS,
@@ -107,59 +107,61 @@
             true => (self.planned_ms + self.plan_gap_ms).saturating_sub(now_ms),
             false => tick_ms,
         };
-        tick_ms.min(plan_in_ms).min(self.pendings.due_in_ms(now_ms))
+        tick_ms.min(plan_in_ms).min(self.held_answers.due_in_ms(now_ms))
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now_ms = self.now_ms();
         match message {
             Message::Tick => self.is_plan_due = true,
-            Message::Sync { asking, reply } => self.sync(asking, reply),
-            Message::LeasesTold(leases) => self.leases.told(leases, now_ms),
-            Message::LeasesRead(rows) => self.leases.read(rows, now_ms),
-            Message::LeasesUnread => self.leases.unread(now_ms),
+            Message::Sync { request, reply } => self.handle_sync(request, reply),
+            Message::LeasesReceived(leases) => self.leases.receive(leases, now_ms),
+            Message::LeasesRead(rows) => self.leases.record_rows(rows, now_ms),
+            Message::LeaseReadFailed => self.leases.record_read_failure(now_ms),
             Message::LeaseWritten { group, write, outcome, sent_ms } => {
-                self.leases.written(&group, write, outcome, sent_ms, now_ms);
+                self.leases.write_finished(&group, write, outcome, sent_ms, now_ms);
             }
             Message::Resigned { group, resignation, engines } => {
-                self.resigned(&group, resignation, &engines, now_ms);
+                self.leader_resigned(&group, resignation, &engines, now_ms);
             }
-            Message::LeaderSilent => self.leases.leader_silent(now_ms),
-            Message::Leader { attempt, reply } => {
+            Message::LeaderUnresponsive => self.leases.leader_unresponsive(now_ms),
+            Message::LeaderToQuery { attempt, reply } => {
                 let _ = reply.try_send(self.leases.leader(attempt, now_ms));
             }
-            Message::LeaderFor { name, reply } => {
-                let _ = reply.try_send(self.leases.decider(&name, now_ms));
+            Message::DecisionLeader { name, reply } => {
+                let _ = reply.try_send(self.leases.decision_leader(&name, now_ms));
             }
-            Message::LeaderOf { group, reply } => {
+            Message::GroupLeader { group, reply } => {
                 let _ = reply.try_send(self.leases.leader_of(&group, now_ms));
             }
             Message::OtherLeaders(reply) => {
                 let _ = reply.try_send(self.other_leaders(now_ms));
             }
-            Message::AskOther { address, group, reply } => {
-                let _ = reply.try_send(self.ask_other(address, &group));
+            Message::OtherLeaderRequest { address, group, reply } => {
+                let _ = reply.try_send(self.request_to_other(address, &group));
             }
-            Message::OtherAnswered { address, answer } => self.other_answered(address, answer),
-            Message::ChangeEnded { service, engine, chain } => {
-                self.change_ended(&service, &engine, &chain);
+            Message::OtherLeaderAnswered { address, answer } => {
+                self.record_other_answer(address, answer)
+            }
+            Message::ChangeFinished { service, engine, chain } => {
+                self.record_change(&service, &engine, &chain);
             }
             Message::QuietTime(quiet_ms) => self.leases.set_quiet_ms(quiet_ms),
-            Message::Stop(reply) => self.leases.leave(reply),
+            Message::Stop(reply) => self.leases.release(reply),
         }
     }
 
     /// Does the work that is due by time.
-    fn look(&mut self) {
+    fn tick(&mut self) {
         let now_ms = self.now_ms();
         let was_leader = self.leases.is_acting();
-        self.leases.look(now_ms);
+        self.leases.tick(now_ms);
         match (was_leader, self.leases.is_acting()) {
             (true, false) => {
                 self.services.clear();
-                self.telling.clear();
+                self.service_views.clear();
                 self.others.clear();
-                self.pendings.clear();
+                self.held_answers.clear();
             }
             (false, true) => {
                 let led = self.leases.led(now_ms);
@@ -169,13 +171,13 @@
         }
         self.plan_if_due(now_ms);
         self.is_plan_due &= self.leases.is_leading(now_ms);
-        self.answer_pending(now_ms);
+        self.answer_due(now_ms);
     }
 
-    fn change_ended(&mut self, service: &ServiceName, engine: &Incarnation, chain: &OrderChain) {
+    fn record_change(&mut self, service: &ServiceName, engine: &Incarnation, chain: &OrderChain) {
         let now_ms = self.now_ms();
-        if let Some(known) = self.services.get_mut(service) {
-            known.change_ended(engine, chain, now_ms);
+        if let Some(state) = self.services.get_mut(service) {
+            state.change_ended(engine, chain, now_ms);
         }
         self.is_plan_due = true;
     }
--- a/crates/trestle-entry/src/control/permit.rs
+++ b/crates/trestle-entry/src/control/permit.rs
@@ -12,7 +12,7 @@
 
 /// Assumed time until orders may be sent while a lease is not certain; a renewal takes about as
 /// long.
-const UNKNOWN_MS: u64 = 1_000;
+const ASSUMED_WAIT_MS: u64 = 1_000;
 
 /// The times in which orders may be sent, and the fencing numbers, by group of engines.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
         let window = self.window(group);
         match now_ms < window.until_ms {
             true => window.from_ms.saturating_sub(now_ms),
-            false => UNKNOWN_MS,
+            false => ASSUMED_WAIT_MS,
         }
     }
 
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -1,6 +1,6 @@
 //! Decides when the control thread plans, and which engines a plan covers.
 
-use crate::control::{Control, change, engine_spec, others::Others};
+use crate::control::{Control, change, engine_spec, other_leaders::OtherLeaders};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
@@ -12,7 +12,7 @@
 };
 
 /// Assumed time until a new leader has read the list of engines, if it has not read it yet.
-const UNINFORMED_MS: u64 = 300;
+const UNREAD_LIST_MS: u64 = 300;
 /// Shortest time between two plans.
 pub(super) const PLAN_GAP_MS: u64 = 15;
 /// Shortest time between two plans, as a multiple of the duration of the last plan. Planning may
@@ -40,20 +40,20 @@
     }
 
     /// Forwards demand that other leaders serve to them at once; for use when no plan does so now.
-    pub(super) fn share_out(&mut self, now_ms: u64) {
+    pub(super) fn forward_demand(&mut self, now_ms: u64) {
         let Some(catalog) = self.daemon.shared_view.catalog() else { return };
         let led = self.leases.led(now_ms);
         let mut groups = BTreeSet::new();
-        for (service, known) in &mut self.services {
+        for (service, state) in &mut self.services {
             let Some(spec) = engine_spec(&catalog, service) else { continue };
-            if known.sharing.is_alone() {
+            if state.sharing.is_alone() {
                 continue;
             }
-            let (own, _) = by_leader(self.daemon.usable(service), &led);
-            known.assign_groups(spec, &own, now_ms);
-            groups.extend(known.groups_to_plan(now_ms));
+            let (own, _) = by_leader(self.daemon.usable_endpoints(service), &led);
+            state.assign_groups(spec, &own, now_ms);
+            groups.extend(state.groups_to_plan(now_ms));
         }
-        self.daemon.shared_view.forward(self.others.addresses(&groups));
+        self.daemon.shared_view.forward_demand(self.others.addresses(&groups));
     }
 
     fn plan(&mut self, now_ms: u64) {
@@ -63,26 +63,26 @@
         let policy = self.daemon.shared_view.with(|local_view| local_view.policy.clone());
         let limited = self.daemon.with_endpoint_limits(|limits| limits.limited(now_ms));
         let mut groups = BTreeSet::new();
-        for (service, known) in &mut self.services {
+        for (service, state) in &mut self.services {
             let Some(spec) = engine_spec(&catalog, service) else { continue };
-            let (own, foreign) = by_leader(self.daemon.usable(service), &led);
-            let others = sharers(&self.others, service, &led, foreign, now_ms);
-            known.sharing.update(others);
-            known.set_limited(limited.clone());
+            let (own, foreign) = by_leader(self.daemon.usable_endpoints(service), &led);
+            let others = sharing_leaders(&self.others, service, &led, foreign, now_ms);
+            state.sharing.update(others);
+            state.set_limited(limited.clone());
             let daemon = &self.daemon;
             let may_order_at = |name: &EndpointName| {
                 own.get(name).is_some_and(|endpoint| {
                     let opens_in_ms = daemon.order_permits.opens_in_ms(&endpoint.domain, now_ms);
-                    opens_in_ms <= orders_in_ms && now_ms >= daemon.rests_until_ms(endpoint)
+                    opens_in_ms <= orders_in_ms && now_ms >= daemon.backoff_until_ms(endpoint)
                 }) && daemon.with_order_log(|log| log.may_order(name, now_ms))
             };
-            let changes = known.plan(spec, &policy, &own, orders_in_ms, may_order_at, now_ms);
+            let changes = state.plan(spec, &policy, &own, orders_in_ms, may_order_at, now_ms);
             for (endpoint, change, chain) in changes {
                 change::start(&self.daemon, service.clone(), endpoint, change, chain);
             }
-            groups.extend(known.groups_to_plan(now_ms));
+            groups.extend(state.groups_to_plan(now_ms));
         }
-        self.daemon.shared_view.forward(self.others.addresses(&groups));
+        self.daemon.shared_view.forward_demand(self.others.addresses(&groups));
     }
 
     /// Returns the time until orders to the first of the groups may be sent.
@@ -92,7 +92,7 @@
         let opens_in_ms = opens_in_ms.unwrap_or_default();
         match self.daemon.freshness.is_informed() {
             true => opens_in_ms,
-            false => opens_in_ms.max(UNINFORMED_MS),
+            false => opens_in_ms.max(UNREAD_LIST_MS),
         }
     }
 }
@@ -103,32 +103,33 @@
 }
 
 /// Returns what is known of the leaders that share a service's engines with this one.
-fn sharers(
-    others: &Others,
+fn sharing_leaders(
+    others: &OtherLeaders,
     service: &ServiceName,
     led: &BTreeSet<DomainName>,
     foreign: Engines,
     now_ms: u64,
 ) -> sharing::OtherLeaders {
-    let notes = others.notes(service, now_ms);
+    let summaries = others.engine_summaries(service, now_ms);
     let engines = foreign.into_iter().map(|(name, endpoint)| {
-        let (holds, running) = match notes.get(&name) {
-            Some(note) => (note.holds.clone(), note.running),
+        let (holds, running) = match summaries.get(&name) {
+            Some(summary) => (summary.holds.clone(), summary.running),
             None => (endpoint.held.clone(), 0),
         };
         (name, ForeignEngine { endpoint, holds, running })
     });
     let engines = engines.collect();
-    let mut sharers = sharing::OtherLeaders { led: led.clone(), engines, ..Default::default() };
-    for other in others.live(now_ms) {
-        sharers.leaders += 1;
-        sharers.live.extend(other.led().iter().cloned());
-        sharers.planned.extend(other.planned(service).cloned());
+    let mut sharing_leaders =
+        sharing::OtherLeaders { led: led.clone(), engines, ..Default::default() };
+    for other in others.reachable(now_ms) {
+        sharing_leaders.leaders += 1;
+        sharing_leaders.live.extend(other.led().iter().cloned());
+        sharing_leaders.planned.extend(other.planned(service).cloned());
         let Some(group) = other.led().first() else { continue };
-        let coming = other.last_plan(service, now_ms).into_iter().flat_map(|(ready, _)| ready);
-        let coming = coming.filter(|(loadable, ms)| loadable.adapter.is_none() && **ms > 0);
-        let coming = coming.map(|(loadable, _)| (loadable.model.clone(), group.clone()));
-        sharers.loading.extend(coming);
+        let loading = other.last_plan(service, now_ms).into_iter().flat_map(|(ready, _)| ready);
+        let loading = loading.filter(|(loadable, ms)| loadable.adapter.is_none() && **ms > 0);
+        let loading = loading.map(|(loadable, _)| (loadable.model.clone(), group.clone()));
+        sharing_leaders.loading.extend(loading);
     }
-    sharers
+    sharing_leaders
 }
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/service_view.rs
@@ -1,7 +1,7 @@
 //! The leader's view of one service as sent to daemons, rebuilt only when it has changed or is too
 //! old.
 
-use crate::control::others::Others;
+use crate::control::other_leaders::OtherLeaders;
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{DomainName, ModelName, ServiceName};
 use trestle_dispatch::{
@@ -15,103 +15,104 @@
 
 /// Longest age of a view that is sent again without a rebuild. It adds less to the age at the
 /// receiver than the network and the pause between two sync requests do.
-const TOLD_MS: u64 = 30;
+const MAX_AGE_MS: u64 = 30;
 /// Most pending loads whose remaining time is sent to all daemons. If there are more, each daemon
 /// receives only those that its own callers wait for; a daemon that has no entry for a model asks
 /// again within some 50 ms.
-const READY_TOLD_TO_ALL: usize = 64;
+const MAX_READY_TO_ALL: usize = 64;
 
 /// Shortest time between two rebuilds after a change; each rebuild takes a leader some 0.3 ms.
-const NEWS_MS: u64 = 20;
+const REBUILD_GAP_MS: u64 = 20;
 
 /// The leader's view of one service, in the two forms in which it is sent.
 #[derive(Debug)]
-pub(crate) struct Telling {
-    at_ms: u64,
-    news: u64,
+pub(crate) struct ServiceView {
+    built_ms: u64,
+    revision: u64,
     /// Sequence numbers of the two logs up to which waiting requesters were notified.
-    noted: [u64; 2],
+    notified: [u64; 2],
     /// Sent to this leader's daemons: all engines.
-    all: PlacementLog,
+    log: PlacementLog,
     view: ReplicaView,
     /// Sent to other leaders: the engines that this leader controls.
-    own: PlacementLog,
+    own_log: PlacementLog,
     own_view: ReplicaView,
 }
 
 /// The requester to which a view is sent.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asker<'a> {
+pub(crate) struct Requester<'a> {
     /// Whether the requester leads other engines.
     pub(crate) is_leader: bool,
     /// The position that the requester has reached in the placement log.
-    pub(crate) have: PlacementPosition,
+    pub(crate) position: PlacementPosition,
     /// Models that the requester's callers wait for.
     pub(crate) models: &'a BTreeSet<ModelName>,
 }
 
 /// What a leader builds its view of a service from.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Known<'a> {
+pub(crate) struct ViewSource<'a> {
     pub(crate) state: &'a ServiceState,
     pub(crate) service: &'a ServiceName,
     pub(crate) directory: &'a Directory,
-    pub(crate) others: &'a Others,
+    pub(crate) others: &'a OtherLeaders,
     pub(crate) led: &'a BTreeSet<DomainName>,
     pub(crate) now_ms: u64,
 }
 
-impl Default for Telling {
+impl Default for ServiceView {
     fn default() -> Self {
         let new_log = || PlacementLog::new(fastrand::u64(1..));
         Self {
-            at_ms: 0,
-            news: 0,
-            noted: [0, 0],
-            all: new_log(),
+            built_ms: 0,
+            revision: 0,
+            notified: [0, 0],
+            log: new_log(),
             view: ReplicaView::default(),
-            own: new_log(),
+            own_log: new_log(),
             own_view: ReplicaView::default(),
         }
     }
 }
 
-impl Telling {
+impl ServiceView {
     /// Rebuilds the view unless the last one is recent enough.
-    pub(crate) fn refresh(&mut self, known: Known<'_>) {
-        let news = known.state.revision() + known.others.news();
-        let told_ms = if self.news == news { TOLD_MS } else { NEWS_MS };
-        if self.at_ms > 0 && known.now_ms < self.at_ms + told_ms {
+    pub(crate) fn refresh(&mut self, source: ViewSource<'_>) {
+        let revision = source.state.revision() + source.others.revision();
+        let max_age_ms = if self.revision == revision { MAX_AGE_MS } else { REBUILD_GAP_MS };
+        if self.built_ms > 0 && source.now_ms < self.built_ms + max_age_ms {
             return;
         }
-        self.at_ms = known.now_ms;
-        self.news = news;
-        self.own_view = own_view(known);
-        self.view = whole_view(known, &self.own_view);
-        self.all.update(self.view.engines.iter().map(|(name, note)| (name, &note.holds)));
-        self.own.update(self.own_view.engines.iter().map(|(name, note)| (name, &note.holds)));
+        self.built_ms = source.now_ms;
+        self.revision = revision;
+        self.own_view = own_view(source);
+        self.view = whole_view(source, &self.own_view);
+        self.log.update(self.view.engines.iter().map(|(name, summary)| (name, &summary.holds)));
+        self.own_log
+            .update(self.own_view.engines.iter().map(|(name, summary)| (name, &summary.holds)));
     }
 
     /// Returns what engines have become able to run since the last call: first as sent to this
     /// leader's daemons, then as sent to other leaders.
-    pub(crate) fn arrived(&mut self) -> [(bool, BTreeSet<Loadable>); 2] {
-        let [all, own] = self.noted;
-        self.noted = [self.all.sequence(), self.own.sequence()];
-        [(false, self.all.loaded_since(all)), (true, self.own.loaded_since(own))]
+    pub(crate) fn take_arrivals(&mut self) -> [(bool, BTreeSet<Loadable>); 2] {
+        let [all, own] = self.notified;
+        self.notified = [self.log.sequence(), self.own_log.sequence()];
+        [(false, self.log.loaded_since(all)), (true, self.own_log.loaded_since(own))]
     }
 
     /// Returns the view for a requester. Another leader receives nothing about engines of third
     /// leaders, since these send it themselves.
-    pub(crate) fn view(&self, asker: Asker<'_>, known: Known<'_>) -> WireView {
-        let (log, view) = match asker.is_leader {
-            true => (&self.own, &self.own_view),
-            false => (&self.all, &self.view),
+    pub(crate) fn view(&self, requester: Requester<'_>, source: ViewSource<'_>) -> WireView {
+        let (log, view) = match requester.is_leader {
+            true => (&self.own_log, &self.own_view),
+            false => (&self.log, &self.view),
         };
         let running = log.engines().map(|name| view.engines.get(name).map_or(0, |n| n.running));
         WireView {
-            placements: log.delta(asker.have).into(),
+            placements: log.delta(requester.position).into(),
             running: running.collect(),
-            ready_in_ms: ready(asker, known).iter().map(to_ready).collect(),
+            ready_in_ms: ready_in_ms(requester, source).iter().map(to_ready).collect(),
             daemons: 0,
             askers: 0,
             planned: 0,
@@ -120,7 +121,7 @@
 
     /// Returns the placement log whose engine numbers a requester uses.
     pub(crate) fn log(&self, is_leader: bool) -> &PlacementLog {
-        if is_leader { &self.own } else { &self.all }
+        if is_leader { &self.own_log } else { &self.log }
     }
 }
 
@@ -128,34 +129,36 @@
 /// recent as the last plan, because a requester is answered only after a plan has included its
 /// demand: an answer some ms older once refused 700 of 5,000 callers for whom a load had just
 /// begun.
-fn ready(asker: Asker<'_>, known: Known<'_>) -> BTreeMap<Loadable, u64> {
-    let mut plans = vec![known.state.last_plan(known.now_ms)];
-    if !asker.is_leader {
-        let live = known.others.live(known.now_ms);
-        plans.extend(live.filter_map(|other| other.last_plan(known.service, known.now_ms)));
+fn ready_in_ms(requester: Requester<'_>, source: ViewSource<'_>) -> BTreeMap<Loadable, u64> {
+    let mut plans = vec![source.state.last_plan(source.now_ms)];
+    if !requester.is_leader {
+        let live = source.others.reachable(source.now_ms);
+        plans.extend(live.filter_map(|other| other.last_plan(source.service, source.now_ms)));
     }
     let count: usize = plans.iter().map(|(ready_in_ms, _)| ready_in_ms.len()).sum();
-    let tells_all = asker.is_leader || count <= READY_TOLD_TO_ALL;
+    let sends_all = requester.is_leader || count <= MAX_READY_TO_ALL;
     let mut soonest: BTreeMap<Loadable, u64> = BTreeMap::new();
-    let mut note = |loadable: &Loadable, ms: u64, age_ms: u64| {
+    let mut keep_soonest = |loadable: &Loadable, ms: u64, age_ms: u64| {
         let ms = loadable::aged_ms(ms, age_ms);
-        let known_ms = soonest.entry(loadable.clone()).or_insert(ms);
-        *known_ms = (*known_ms).min(ms);
+        let soonest_ms = soonest.entry(loadable.clone()).or_insert(ms);
+        *soonest_ms = (*soonest_ms).min(ms);
     };
     for (ready_in_ms, age_ms) in plans {
-        match tells_all {
-            true => ready_in_ms.iter().for_each(|(loadable, ms)| note(loadable, *ms, age_ms)),
-            false => loadable::ready_of(ready_in_ms, asker.models)
-                .for_each(|(loadable, ms)| note(loadable, ms, age_ms)),
+        match sends_all {
+            true => {
+                ready_in_ms.iter().for_each(|(loadable, ms)| keep_soonest(loadable, *ms, age_ms))
+            }
+            false => loadable::ready_of(ready_in_ms, requester.models)
+                .for_each(|(loadable, ms)| keep_soonest(loadable, ms, age_ms)),
         }
     }
     soonest
 }
 
 /// Returns what is known of the engines that this leader controls.
-fn own_view(known: Known<'_>) -> ReplicaView {
-    let mut view = known.state.view(known.service, known.directory, known.now_ms);
-    let Known { directory, led, .. } = known;
+fn own_view(source: ViewSource<'_>) -> ReplicaView {
+    let mut view = source.state.view(source.service, source.directory, source.now_ms);
+    let ViewSource { directory, led, .. } = source;
     view.engines.retain(|name, _| {
         directory.get(name).is_some_and(|endpoint| led.contains(&endpoint.domain))
     });
@@ -164,19 +167,19 @@
 
 /// Returns what is known of all engines. For an engine that another leader controls, that leader's
 /// report is used; without one, the engine's own entry in the list.
-fn whole_view(known: Known<'_>, own: &ReplicaView) -> ReplicaView {
-    let notes = known.others.notes(known.service, known.now_ms);
+fn whole_view(source: ViewSource<'_>, own: &ReplicaView) -> ReplicaView {
+    let reported = source.others.engine_summaries(source.service, source.now_ms);
     let mut usage = None;
-    let engines = known.directory.usable(known.service).map(|endpoint| {
+    let engines = source.directory.usable(source.service).map(|endpoint| {
         let name = &endpoint.name;
-        let note = match own.engines.get(name).or_else(|| notes.get(name).copied()) {
-            Some(note) => note.clone(),
+        let summary = match own.engines.get(name).or_else(|| reported.get(name).copied()) {
+            Some(summary) => summary.clone(),
             None => {
-                let usage = usage.get_or_insert_with(|| known.state.demand.usage(known.now_ms));
+                let usage = usage.get_or_insert_with(|| source.state.demand.usage(source.now_ms));
                 EngineSummary { holds: endpoint.held.clone(), running: usage.at(name) }
             }
         };
-        (name.clone(), note)
+        (name.clone(), summary)
     });
     ReplicaView { engines: engines.collect(), ..ReplicaView::default() }
 }
--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/sync_requests.rs
@@ -2,8 +2,8 @@
 
 use crate::control::{
     Control,
-    answers::Pending,
-    telling::{Asker, Known},
+    held_answers::HeldAnswer,
+    service_view::{Requester, ViewSource},
 };
 use async_channel::Sender;
 use std::collections::BTreeMap;
@@ -13,48 +13,49 @@
 impl Control {
     /// Handles a sync request. It is answered when every leader that serves the reported demand
     /// has planned with it, or after a short time limit.
-    pub(super) fn sync(&mut self, asking: WireAsking, reply: Sender<WireSynced>) {
+    pub(super) fn handle_sync(&mut self, request: WireAsking, reply: Sender<WireSynced>) {
         let now_ms = self.now_ms();
         if !self.leases.is_leading(now_ms) {
             // The requester may have given up.
-            let _ = reply.try_send(self.not_leading(&asking.group, now_ms));
+            let _ = reply.try_send(self.not_leading_answer(&request.group, now_ms));
             return;
         }
-        let WireAsking { vm, group, is_leader, digests, have, .. } = asking;
+        let WireAsking { vm, group, is_leader, digests, have, .. } = request;
         let member = VmName::from(vm.as_str());
         if !is_leader {
             self.members.report_received(member.clone(), now_ms);
         }
-        let teller = if is_leader { format!("{vm} as a leader").into() } else { member };
-        let mut pending = Pending::new(teller, group, is_leader, have, reply, now_ms);
-        for digest in digests {
-            let telling = self.telling.entry(digest.service.as_str().into()).or_default();
-            let log = telling.log(is_leader);
+        let requester = if is_leader { format!("{vm} as a leader").into() } else { member };
+        let mut held = HeldAnswer::new(requester, group, is_leader, have, reply, now_ms);
+        for report in digests {
+            let service_view =
+                self.service_views.entry(report.service.as_str().into()).or_default();
+            let log = service_view.log(is_leader);
             let name = |log_id: u64, number| {
                 (log_id == log.id()).then(|| log.name(number).cloned()).flatten()
             };
-            let log_id = digest.log;
-            let (service, digest) = digest.into_digest(|number| name(log_id, number));
-            self.is_plan_due |= !digest.waiting.is_empty();
-            pending.told(&service, &digest);
-            let known = self.services.entry(service.clone()).or_default();
+            let log_id = report.log;
+            let (service, report) = report.into_digest(|number| name(log_id, number));
+            self.is_plan_due |= !report.waiting.is_empty();
+            held.add_demand(&service, &report);
+            let state = self.services.entry(service.clone()).or_default();
             if is_leader {
-                known.demand.leader_report_received(pending.teller.clone(), digest, now_ms);
+                state.demand.leader_report_received(held.requester.clone(), report, now_ms);
             } else {
-                self.others.arrived(&service, &digest);
-                known.demand.report_received(pending.teller.clone(), digest, now_ms);
+                self.others.add_arrivals(&service, &report);
+                state.demand.report_received(held.requester.clone(), report, now_ms);
             }
         }
         // After a plan the answer tells what becomes of the waiting requests.
         let has_planned = self.plan_if_due(now_ms);
         if !is_leader && !has_planned {
-            self.share_out(now_ms);
+            self.forward_demand(now_ms);
         }
-        self.pendings.push(pending);
-        self.answer_pending(now_ms);
+        self.held_answers.push(held);
+        self.answer_due(now_ms);
     }
 
-    fn not_leading(&self, group: &str, now_ms: u64) -> WireSynced {
+    fn not_leading_answer(&self, group: &str, now_ms: u64) -> WireSynced {
         WireSynced {
             leases: self.leases.rows_for(group, now_ms),
             resigned: self.leases.resignations(now_ms),
@@ -63,46 +64,53 @@
     }
 
     /// Answers requesters for whom there is something new, and those at their time limit.
-    pub(super) fn answer_pending(&mut self, now_ms: u64) {
-        if self.pendings.is_empty() {
+    pub(super) fn answer_due(&mut self, now_ms: u64) {
+        if self.held_answers.is_empty() {
             return;
         }
-        self.refresh_telling(now_ms);
-        for (service, telling) in &mut self.telling {
-            for (is_leader, arrived) in telling.arrived() {
-                self.pendings.arrived(service, is_leader, &arrived);
+        self.refresh_views(now_ms);
+        for (service, service_view) in &mut self.service_views {
+            for (is_leader, arrived) in service_view.take_arrivals() {
+                self.held_answers.record_arrivals(service, is_leader, &arrived);
             }
         }
         let services = &self.services;
-        let due = self.pendings.take_due(now_ms, |service, teller| {
-            services.get(service).map_or(0, |known| known.demand.planned(teller))
+        let due = self.held_answers.take_due(now_ms, |service, requester| {
+            services.get(service).map_or(0, |state| state.demand.planned(requester))
         });
-        for pending in due {
-            let answer = self.answer(&pending, now_ms);
+        for held in due {
+            let answer = self.answer(&held, now_ms);
             // The requester may have given up.
-            let _ = pending.reply.try_send(answer);
+            let _ = held.reply.try_send(answer);
         }
     }
 
     /// Rebuilds the views that are sent, where they are too old.
-    fn refresh_telling(&mut self, now_ms: u64) {
+    fn refresh_views(&mut self, now_ms: u64) {
         let led = self.leases.led(now_ms);
         if led.is_empty() {
             return;
         }
         for (service, state) in &self.services {
-            let telling = self.telling.entry(service.clone()).or_default();
+            let service_view = self.service_views.entry(service.clone()).or_default();
             let others = &self.others;
             self.daemon.shared_view.with(|local_view| {
                 let directory = &local_view.directory;
-                telling.refresh(Known { state, service, directory, others, led: &led, now_ms });
+                service_view.refresh(ViewSource {
+                    state,
+                    service,
+                    directory,
+                    others,
+                    led: &led,
+                    now_ms,
+                });
             });
         }
     }
 
-    fn answer(&mut self, pending: &Pending, now_ms: u64) -> WireSynced {
+    fn answer(&mut self, held: &HeldAnswer, now_ms: u64) -> WireSynced {
         if !self.leases.is_leading(now_ms) {
-            return self.not_leading(&pending.group, now_ms);
+            return self.not_leading_answer(&held.group, now_ms);
         }
         let led = self.leases.led(now_ms);
         let members = self.members.count(now_ms);
@@ -113,24 +121,25 @@
         self.leases.set_daemons(members, now_ms);
         let mut views = BTreeMap::new();
         for (service, state) in &self.services {
-            let Some(telling) = self.telling.get(service) else { continue };
-            let asker = Asker {
-                is_leader: pending.is_leader,
-                have: pending.position(service),
-                models: pending.models(service),
+            let Some(service_view) = self.service_views.get(service) else { continue };
+            let requester = Requester {
+                is_leader: held.is_leader,
+                position: held.position(service),
+                models: held.models(service),
             };
             let (others, led) = (&self.others, &led);
             let mut view = self.daemon.shared_view.with(|local_view| {
                 let directory = &local_view.directory;
-                telling.view(asker, Known { state, service, directory, others, led, now_ms })
+                service_view
+                    .view(requester, ViewSource { state, service, directory, others, led, now_ms })
             });
-            view.planned = state.demand.planned(&pending.teller);
+            view.planned = state.demand.planned(&held.requester);
             view.daemons = daemons as u32;
             view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
         }
         WireSynced {
-            leases: self.leases.rows_for(&pending.group, now_ms),
+            leases: self.leases.rows_for(&held.group, now_ms),
             is_leader: true,
             led: led.iter().map(ToString::to_string).collect(),
             members: members as u32,
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -17,43 +17,47 @@
 };
 
 /// Most refused requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
-const MOST_IN_ROW: usize = 24;
+const MAX_IN_ROW: usize = 24;
 
 /// The state of the exchange between this daemon and a leader that it queries.
 #[derive(Debug, Default)]
-pub(crate) struct CrashExchange {
+pub(crate) struct CrashReportExchange {
     /// The last local change that the leader has acknowledged.
-    told: u64,
+    acknowledged: u64,
     /// The last local change that the open request reports.
-    telling: u64,
+    in_flight: u64,
     /// The last change at the leader that was received.
-    heard: u64,
+    received: u64,
 }
 
-impl CrashExchange {
+impl CrashReportExchange {
     /// Adds the changes that the leader has not acknowledged to a request.
-    pub(crate) fn ask(&mut self, daemon: &Daemon, asking: &mut WireAsking) {
+    pub(crate) fn add_to(&mut self, daemon: &Daemon, request: &mut WireAsking) {
         let now_ms = daemon.shared_view.now_ms();
-        let (news, number) = daemon
+        let (changes, number) = daemon
             .shared_view
-            .with(|local_view| local_view.crashes.changes_since(self.told, now_ms));
-        asking.crashes = news.into_iter().map(WireCrash::from).collect();
-        asking.have.refused = self.heard;
-        self.telling = number;
+            .with(|local_view| local_view.crashes.changes_since(self.acknowledged, now_ms));
+        request.crashes = changes.into_iter().map(WireCrash::from).collect();
+        request.have.refused = self.received;
+        self.in_flight = number;
     }
 
     /// Records the leader's answer, with the requests that it reports as refused.
-    pub(crate) fn answered(&mut self, daemon: &Daemon, refused: Option<WireRefused>) {
-        self.told = self.telling;
+    pub(crate) fn record_answer(&mut self, daemon: &Daemon, refused: Option<WireRefused>) {
+        self.acknowledged = self.in_flight;
         if let Some(refused) = refused {
-            self.heard = refused.number;
-            heard_wire(daemon, refused.crashes);
+            self.received = refused.number;
+            receive_wire(daemon, refused.crashes);
         }
     }
 }
 
 /// Records that an endpoint crashed under requests, and triggers a report to the leader.
-pub(crate) fn ended(daemon: &Daemon, incarnation: &Incarnation, requests: &BTreeSet<Fingerprint>) {
+pub(crate) fn record_crash(
+    daemon: &Daemon,
+    incarnation: &Incarnation,
+    requests: &BTreeSet<Fingerprint>,
+) {
     if requests.is_empty() {
         return;
     }
@@ -70,12 +74,12 @@
 }
 
 /// Records the reports of another daemon.
-pub(crate) fn heard(daemon: &Daemon, reports: &[CrashReport]) {
+pub(crate) fn receive(daemon: &Daemon, reports: &[CrashReport]) {
     if reports.is_empty() {
         return;
     }
     let now_ms = daemon.shared_view.now_ms();
-    let (refused, taken_back) = daemon.shared_view.with(|local_view| {
+    let (refused, readmitted) = daemon.shared_view.with(|local_view| {
         let is_refused = |report: &&CrashReport, crashes: &Crashes| {
             crashes.refused_for_ms(report.request, now_ms).is_some()
         };
@@ -85,7 +89,7 @@
         let after = before.into_iter().filter(|report| !is_refused(report, &local_view.crashes));
         (refused, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
     });
-    for request in taken_back {
+    for request in readmitted {
         tracing::warn!(%request, "request: Another daemon received a complete answer; the request is no longer refused.");
     }
     if !refused.is_empty() {
@@ -96,9 +100,9 @@
 }
 
 /// Records the reports of another daemon in their wire format.
-pub(crate) fn heard_wire(daemon: &Daemon, crashes: Vec<WireCrash>) {
+pub(crate) fn receive_wire(daemon: &Daemon, crashes: Vec<WireCrash>) {
     let reports: Vec<CrashReport> = crashes.into_iter().map(CrashReport::from).collect();
-    heard(daemon, &reports);
+    receive(daemon, &reports);
 }
 
 /// Returns the refused requests for a requester that has received the changes up to `number`;
@@ -107,8 +111,8 @@
     let now_ms = daemon.shared_view.now_ms();
     let (refused, number) = daemon.shared_view.with(|local_view| {
         // Nearly all requesters are up to date, and each asks several times a second.
-        let has_news = local_view.crashes.last_restricted_change() > number;
-        has_news.then(|| local_view.crashes.restricted_reports(now_ms))
+        let has_changes = local_view.crashes.last_restricted_change() > number;
+        has_changes.then(|| local_view.crashes.restricted_reports(now_ms))
     })?;
     Some(WireRefused { crashes: refused.into_iter().map(WireCrash::from).collect(), number })
 }
@@ -119,7 +123,7 @@
     let (mut refused, _) =
         daemon.shared_view.with(|local_view| local_view.crashes.restricted_reports(now_ms));
     refused.retain(|report| report.crashes.len() >= MAX_CRASHES);
-    refused.truncate(MOST_IN_ROW);
+    refused.truncate(MAX_IN_ROW);
     refused
 }
 
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -91,12 +91,12 @@
     }
 
     /// Applies changed bounds from the settings.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
-        self.shared_view.take_bounds(bounds);
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
+        self.shared_view.apply_bounds(bounds);
         self.freshness.take_bounds(bounds);
         self.store.take_bounds(bounds);
-        self.stopping.take_bounds(bounds);
-        self.tell(Message::QuietTime(bounds.order_quiet_ms));
+        self.stopping.apply_bounds(bounds);
+        self.send(Message::QuietTime(bounds.order_quiet_ms));
     }
 
     /// Returns the address at which this daemon serves other daemons.
@@ -105,32 +105,35 @@
     }
 
     /// Calls a function with the log of the last orders to each engine.
-    pub(crate) fn with_order_log<R>(&self, look: impl FnOnce(&mut OrderLog) -> R) -> R {
-        look(&mut self.order_log.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_order_log<R>(&self, f: impl FnOnce(&mut OrderLog) -> R) -> R {
+        f(&mut self.order_log.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Calls a function with the running attempts of requests under which endpoints crashed.
-    pub(crate) fn with_trials<R>(&self, look: impl FnOnce(&mut Trials) -> R) -> R {
-        look(&mut self.trials.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_trials<R>(&self, f: impl FnOnce(&mut Trials) -> R) -> R {
+        f(&mut self.trials.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Calls a function with the allocator of team limits, which is used while this daemon leads.
-    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
-        look(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_quota_allocator<R>(&self, f: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
+        f(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Calls a function with the limits of endpoints on which this daemon decides while it leads.
-    pub(crate) fn with_endpoint_limits<R>(&self, look: impl FnOnce(&mut EndpointLimits) -> R) -> R {
-        look(&mut self.endpoint_limits.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_endpoint_limits<R>(&self, f: impl FnOnce(&mut EndpointLimits) -> R) -> R {
+        f(&mut self.endpoint_limits.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Calls a function with the parts of team limits that this daemon may spend.
-    pub(crate) fn with_allowances<R>(&self, look: impl FnOnce(&mut Allowances) -> R) -> R {
-        look(&mut self.allowances.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with_allowances<R>(&self, f: impl FnOnce(&mut Allowances) -> R) -> R {
+        f(&mut self.allowances.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Returns the endpoints of a service that may receive new work.
-    pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
+    pub(crate) fn usable_endpoints(
+        &self,
+        service: &ServiceName,
+    ) -> BTreeMap<EndpointName, Arc<Endpoint>> {
         self.shared_view.with(|local_view| {
             let usable = local_view.directory.usable_shared(service).cloned();
             usable.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
@@ -138,21 +141,21 @@
     }
 
     /// Returns whether the list still holds this incarnation of an endpoint.
-    pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn is_listed_incarnation(&self, endpoint: &Endpoint) -> bool {
         self.shared_view.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
     }
 
     /// Returns whether the list still holds this incarnation of an endpoint, and it is not
     /// draining.
-    pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn is_usable_incarnation(&self, endpoint: &Endpoint) -> bool {
         self.shared_view.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
     }
 
     /// Returns until when an endpoint has requested a backoff from this daemon; 0 if it has not.
-    pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
+    pub(crate) fn backoff_until_ms(&self, endpoint: &Endpoint) -> u64 {
         let incarnation = endpoint.incarnation();
         self.shared_view.with(|local_view| {
-            local_view.backpressure.backoff(&incarnation).map_or(0, |rest| rest.until_ms)
+            local_view.backpressure.backoff(&incarnation).map_or(0, |backoff| backoff.until_ms)
         })
     }
 
@@ -163,14 +166,14 @@
 
     /// Sends a query to the control thread. Returns `None` if the control thread no longer
     /// answers.
-    pub(crate) async fn ask<T>(&self, question: impl FnOnce(Sender<T>) -> Message) -> Option<T> {
+    pub(crate) async fn query<T>(&self, message: impl FnOnce(Sender<T>) -> Message) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
-        self.tell(question(reply));
+        self.send(message(reply));
         answer.recv().await.ok()
     }
 
     /// Sends a message to the control thread.
-    pub(crate) fn tell(&self, message: Message) {
+    pub(crate) fn send(&self, message: Message) {
         // The channel closes only when the control thread terminates with the process.
         let _ = self.control.try_send(message);
     }
--- a/crates/trestle-entry/src/departures.rs
+++ b/crates/trestle-entry/src/departures.rs
@@ -8,11 +8,11 @@
 use trestle_wire::departures::WireDeparture;
 
 /// Most departures in a lease row, some 90 bytes each; the row is written every 0.6 s.
-const MOST_IN_ROW: usize = 32;
+const MAX_IN_ROW: usize = 32;
 /// Most departures sent to a daemon with its first request.
-const MOST_TOLD: usize = 64;
+const MAX_SENT: usize = 64;
 /// Longest time that a starting daemon waits for the lease rows before it reads the list.
-const MOST_WAIT_MS: u64 = 500;
+const MAX_WAIT_MS: u64 = 500;
 
 /// Waits until the lease rows were read, or the read failed: they mark some entries of the list as
 /// not usable.
@@ -27,13 +27,13 @@
         }
     };
     let waited = async {
-        Timer::after(Duration::from_millis(MOST_WAIT_MS)).await;
+        Timer::after(Duration::from_millis(MAX_WAIT_MS)).await;
     };
     read.or(waited).await;
 }
 
 /// Records the departures that another daemon knows.
-pub(crate) fn heard(daemon: &Daemon, departures: &[Departure]) {
+pub(crate) fn receive(daemon: &Daemon, departures: &[Departure]) {
     if departures.is_empty() {
         return;
     }
@@ -49,19 +49,19 @@
 }
 
 /// Records departures in their wire format.
-pub(crate) fn heard_wire(daemon: &Daemon, departures: Vec<WireDeparture>) {
+pub(crate) fn receive_wire(daemon: &Daemon, departures: Vec<WireDeparture>) {
     let departures: Vec<Departure> = departures.into_iter().map(Departure::from).collect();
-    heard(daemon, &departures);
+    receive(daemon, &departures);
 }
 
 /// Returns the departures, limited to what a lease row holds.
 pub(crate) fn for_row(daemon: &Daemon) -> Vec<Departure> {
-    daemon.shared_view.with(|local_view| local_view.directory.departures(MOST_IN_ROW))
+    daemon.shared_view.with(|local_view| local_view.directory.departures(MAX_IN_ROW))
 }
 
 /// Returns the departures for a daemon that sends its first request.
-pub(crate) fn for_new_asker(daemon: &Daemon) -> Vec<WireDeparture> {
+pub(crate) fn for_new_requester(daemon: &Daemon) -> Vec<WireDeparture> {
     let departures =
-        daemon.shared_view.with(|local_view| local_view.directory.departures(MOST_TOLD));
+        daemon.shared_view.with(|local_view| local_view.directory.departures(MAX_SENT));
     departures.into_iter().map(WireDeparture::from).collect()
 }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -39,7 +39,7 @@
 use crate::{
     daemon::Daemon,
     logs::Logs,
-    metrics::{Counted, Metrics},
+    metrics::{ExternalCounts, Metrics},
     settings_watch::SettingsWatch,
     traffic::{
         answer::{self, Body},
@@ -57,7 +57,7 @@
 
 /// Limits of connections from the balancer and metrics readers, and from callers before there is a
 /// configuration.
-const OWN_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
+const DEFAULT_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
 
 /// An error that prevents the daemon from starting or running.
 #[derive(Debug, Snafu)]
@@ -165,7 +165,7 @@
                 header_bytes: catalog.limits.header_bytes,
                 idle_ms: catalog.limits.idle_ms + catalog.limits.header_ms,
             },
-            None => OWN_LIMITS,
+            None => DEFAULT_LIMITS,
         }
     };
     let daemon = Arc::clone(daemon);
@@ -183,33 +183,33 @@
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
-        async move { own_answer(status, Bytes::new()) }
+        async move { plain_answer(status, Bytes::new()) }
     };
-    smol::spawn(serve::run(listener, Arc::default(), || OWN_LIMITS, handle)).detach();
+    smol::spawn(serve::run(listener, Arc::default(), || DEFAULT_LIMITS, handle)).detach();
 }
 
 fn serve_metrics(daemon: &Arc<Daemon>, logs: Arc<Logs>, listener: TcpListener) {
     let daemon = Arc::clone(daemon);
     let handle = move |_: Request<Incoming>| {
-        let text = daemon.metrics.to_text(counted(&daemon, &logs));
-        async move { own_answer(StatusCode::OK, Bytes::from(text)) }
+        let text = daemon.metrics.to_text(external_counts(&daemon, &logs));
+        async move { plain_answer(StatusCode::OK, Bytes::from(text)) }
     };
-    smol::spawn(serve::run(listener, Arc::default(), || OWN_LIMITS, handle)).detach();
+    smol::spawn(serve::run(listener, Arc::default(), || DEFAULT_LIMITS, handle)).detach();
 }
 
 /// Returns the metric values that are counted elsewhere.
-fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
+fn external_counts(daemon: &Daemon, logs: &Logs) -> ExternalCounts {
     let now_ms = daemon.shared_view.now_ms();
-    daemon.shared_view.with(|local_view| Counted {
+    daemon.shared_view.with(|local_view| ExternalCounts {
         store_calls: daemon.store.calls(),
         log_drops: logs.dropped(),
         limited: local_view.backpressure.limited(),
-        resting: local_view.backpressure.backing_off(now_ms),
-        leaving: local_view.directory.iter().filter(|endpoint| endpoint.is_draining).count(),
+        backing_off: local_view.backpressure.backing_off(now_ms),
+        draining: local_view.directory.iter().filter(|endpoint| endpoint.is_draining).count(),
     })
 }
 
-fn own_answer(status: StatusCode, content: Bytes) -> Response<Body> {
+fn plain_answer(status: StatusCode, content: Bytes) -> Response<Body> {
     let mut response = Response::new(answer::whole(content));
     *response.status_mut() = status;
     response
--- a/crates/trestle-entry/src/logs.rs
+++ b/crates/trestle-entry/src/logs.rs
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 pub struct Logs {
     _worker: WorkerGuard,
-    unread: ErrorCounter,
-    beyond: Arc<AtomicUsize>,
+    queue_drops: ErrorCounter,
+    over_limit: Arc<AtomicUsize>,
 }
 
 impl Logs {
@@ -59,44 +59,44 @@
             .lossy(true)
             .buffered_lines_limit(QUEUED_LINES)
             .finish(std::io::stdout());
-        let unread = writer.error_counter();
-        let volume = Volume::new(settings.lines_per_s);
-        let beyond = Arc::clone(&volume.beyond);
+        let queue_drops = writer.error_counter();
+        let rate = RateFilter::new(settings.lines_per_s);
+        let over_limit = Arc::clone(&rate.over_limit);
         let lines = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
         let registry = tracing_subscriber::registry().with(filter);
         match settings.format {
-            LogFormat::Text => registry.with(lines.with_filter(volume)).init(),
+            LogFormat::Text => registry.with(lines.with_filter(rate)).init(),
             LogFormat::Json => {
                 let json = lines.json().flatten_event(true);
                 let json = json.with_current_span(false).with_span_list(false);
-                registry.with(json.with_filter(volume)).init();
+                registry.with(json.with_filter(rate)).init();
             }
         }
-        Ok(Self { _worker: worker, unread, beyond })
+        Ok(Self { _worker: worker, queue_drops, over_limit })
     }
 
     /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> usize {
-        self.unread.dropped_lines() + self.beyond.load(Ordering::Relaxed)
+        self.queue_drops.dropped_lines() + self.over_limit.load(Ordering::Relaxed)
     }
 }
 
 /// A filter that limits how many lines are written per second.
-struct Volume {
+struct RateFilter {
     limiter: DefaultDirectRateLimiter,
     /// Number of lines dropped because of the limit.
-    beyond: Arc<AtomicUsize>,
+    over_limit: Arc<AtomicUsize>,
 }
 
-impl Volume {
+impl RateFilter {
     fn new(lines_per_s: NonZeroU32) -> Self {
         let burst = lines_per_s.saturating_mul(NonZeroU32::new(BURST_S).unwrap_or(lines_per_s));
         let quota = Quota::per_second(lines_per_s).allow_burst(burst);
-        Self { limiter: RateLimiter::direct(quota), beyond: Arc::default() }
+        Self { limiter: RateLimiter::direct(quota), over_limit: Arc::default() }
     }
 }
 
-impl<S: Subscriber> Filter<S> for Volume {
+impl<S: Subscriber> Filter<S> for RateFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -104,7 +104,7 @@
     fn event_enabled(&self, _: &Event<'_>, _: &Context<'_, S>) -> bool {
         let is_within = self.limiter.check().is_ok();
         if !is_within {
-            self.beyond.fetch_add(1, Ordering::Relaxed);
+            self.over_limit.fetch_add(1, Ordering::Relaxed);
         }
         is_within
     }
--- a/crates/trestle-entry/src/metrics.rs
+++ b/crates/trestle-entry/src/metrics.rs
@@ -29,7 +29,7 @@
 
 /// Values that are counted elsewhere, as of the time when metrics are requested.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Counted {
+pub(crate) struct ExternalCounts {
     /// Calls to the store since the start.
     pub(crate) store_calls: u64,
     /// Log lines dropped since the start.
@@ -37,9 +37,9 @@
     /// Endpoints that have reported a limit.
     pub(crate) limited: usize,
     /// Endpoints that have requested a backoff.
-    pub(crate) resting: usize,
+    pub(crate) backing_off: usize,
     /// Listed endpoints that are draining.
-    pub(crate) leaving: usize,
+    pub(crate) draining: usize,
 }
 
 impl Metrics {
@@ -119,12 +119,15 @@
 
     /// Returns all metrics as text, including the values that are counted elsewhere; an empty text
     /// if the encoding fails.
-    pub(crate) fn to_text(&self, counted: Counted) -> String {
-        self.store_calls.record(counted.store_calls, &[]);
-        self.log_drops.record(counted.log_drops as u64, &[]);
-        let asking =
-            [("limit", counted.limited), ("rest", counted.resting), ("leaving", counted.leaving)];
-        for (what, count) in asking {
+    pub(crate) fn to_text(&self, external: ExternalCounts) -> String {
+        self.store_calls.record(external.store_calls, &[]);
+        self.log_drops.record(external.log_drops as u64, &[]);
+        let by_signal = [
+            ("limit", external.limited),
+            ("rest", external.backing_off),
+            ("leaving", external.draining),
+        ];
+        for (what, count) in by_signal {
             self.asking_endpoints.record(count as u64, &[KeyValue::new("asks", what)]);
         }
         let mut text = Vec::new();
--- a/crates/trestle-entry/src/peer/calls.rs
+++ b/crates/trestle-entry/src/peer/calls.rs
@@ -18,9 +18,9 @@
 /// Time limit for an answer. A later one is of no use to callers with a short objective.
 const ANSWER_MS: u64 = 250;
 /// Number of leaders that are tried before a call is given up.
-const LEADERS_TRIED: usize = 2;
+const MAX_LEADERS_TRIED: usize = 2;
 /// Most open connections: to the leaders of all groups, and to some former leaders.
-const MOST_OPEN: usize = 16;
+const MAX_OPEN: usize = 16;
 
 /// Open connections to leaders.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
         }
         let client = connect(address).await?;
         let mut open = self.open();
-        if open.len() >= MOST_OPEN {
+        if open.len() >= MAX_OPEN {
             open.clear();
         }
         open.insert(address, client.clone());
@@ -67,12 +67,12 @@
 }
 
 /// Returns the answer of this daemon's leader, or of another leader if that one gives none.
-pub(crate) async fn first_answer<T, A>(daemon: &Daemon, ask: impl Fn(Leader) -> A) -> Option<T>
+pub(crate) async fn first_answer<T, A>(daemon: &Daemon, call: impl Fn(Leader) -> A) -> Option<T>
 where
     A: Future<Output = Option<T>>,
 {
-    for attempt in 0..LEADERS_TRIED {
-        let answer = ask(leader(daemon, attempt).await).await;
+    for attempt in 0..MAX_LEADERS_TRIED {
+        let answer = call(leader(daemon, attempt).await).await;
         if answer.is_some() {
             return answer;
         }
@@ -82,13 +82,13 @@
 
 /// Returns the leader that this daemon queries after a number of leaders that did not answer.
 pub(crate) async fn leader(daemon: &Daemon, attempt: usize) -> Leader {
-    let leader = daemon.ask(|reply| Message::Leader { attempt, reply }).await;
+    let leader = daemon.query(|reply| Message::LeaderToQuery { attempt, reply }).await;
     leader.unwrap_or(Leader::Nobody)
 }
 
 /// Returns the leader that makes the decisions on a name for all daemons, and since when if
 /// another leader may have made them before.
-pub(crate) async fn leader_for(daemon: &Daemon, name: String) -> (Leader, Option<u64>) {
-    let leader = daemon.ask(|reply| Message::LeaderFor { name, reply }).await;
+pub(crate) async fn decision_leader(daemon: &Daemon, name: String) -> (Leader, Option<u64>) {
+    let leader = daemon.query(|reply| Message::DecisionLeader { name, reply }).await;
     leader.unwrap_or((Leader::Nobody, None))
 }
--- a/crates/trestle-entry/src/peer/client.rs
+++ b/crates/trestle-entry/src/peer/client.rs
@@ -46,14 +46,14 @@
     pub(crate) async fn sync(
         &mut self,
         address: SocketAddr,
-        asking: WireAsking,
+        request: WireAsking,
     ) -> Result<WireSynced, Error> {
         let client = match &self.open {
             Some((open_to, client)) if *open_to == address => client.clone(),
             _ => connect(address).await.context(ConnectSnafu { address })?,
         };
         self.open = Some((address, client.clone()));
-        let answer = client.sync(context_for(ANSWER_MS), asking).await;
+        let answer = client.sync(context_for(ANSWER_MS), request).await;
         if answer.is_err() {
             self.open = None;
         }
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -23,7 +23,7 @@
 };
 
 /// Most requests of one connection that are handled at the same time.
-const MOST_ANSWERING: usize = 16;
+const MAX_CONCURRENT: usize = 16;
 
 /// Serves other daemons until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>, listener: TcpListener) {
@@ -43,7 +43,7 @@
     let transport = serde_transport::new(framed, Bincode::default());
     let requests = BaseChannel::with_defaults(transport).execute(Server(daemon).serve());
     // Most daemons send their next request only after they have received an answer.
-    let each = requests.for_each_concurrent(MOST_ANSWERING, |answering| answering);
+    let each = requests.for_each_concurrent(MAX_CONCURRENT, |handling| handling);
     Compat::new(each).await;
 }
 
@@ -52,27 +52,27 @@
 struct Server(Arc<Daemon>);
 
 impl Replicas for Server {
-    async fn sync(self, _: Context, mut asking: WireAsking) -> WireSynced {
-        let (have, is_leader) = (asking.have.clone(), asking.is_leader);
-        crashes::heard_wire(&self.0, std::mem::take(&mut asking.crashes));
-        let synced = self.0.ask(|reply| Message::Sync { asking, reply }).await;
+    async fn sync(self, _: Context, mut request: WireAsking) -> WireSynced {
+        let (positions, is_leader) = (request.have.clone(), request.is_leader);
+        crashes::receive_wire(&self.0, std::mem::take(&mut request.crashes));
+        let synced = self.0.query(|reply| Message::Sync { request, reply }).await;
         let mut synced = synced.unwrap_or_default();
         // This requires no lease: while no leader can renew its lease, daemons still learn of each
         // other's crash reports this way.
-        synced.refused = crashes::refused_after(&self.0, have.refused);
+        synced.refused = crashes::refused_after(&self.0, positions.refused);
         // Leaders follow the store themselves.
         if synced.is_leader && !is_leader {
-            synced.relay = Some(relay(&self.0, have));
+            synced.relay = Some(relay(&self.0, positions));
         }
         synced
     }
 
-    async fn lend(self, _: Context, borrowing: WireBorrowing) -> WireLoan {
-        allocation::allocate(&self.0, borrowing).await
+    async fn lend(self, _: Context, request: WireBorrowing) -> WireLoan {
+        allocation::allocate(&self.0, request).await
     }
 
-    async fn lend_place(self, _: Context, asking: WirePlaceAsking) -> WirePlace {
-        send_permits::grant(&self.0, asking).await
+    async fn lend_place(self, _: Context, request: WirePlaceAsking) -> WirePlace {
+        send_permits::grant(&self.0, request).await
     }
 
     async fn try_out(self, _: Context, trial: WireTrial) -> WireTrialAnswer {
@@ -81,17 +81,17 @@
 }
 
 /// Returns the changes in the store since the position that a daemon has reported.
-fn relay(daemon: &Daemon, have: WireHave) -> WireRelay {
+fn relay(daemon: &Daemon, positions: WireHave) -> WireRelay {
     let now_ms = daemon.shared_view.now_ms();
     let age_ms = daemon.freshness.age_ms(now_ms);
-    let departures = match have.departures {
+    let departures = match positions.departures {
         true => Vec::new(),
-        false => departures::for_new_asker(daemon),
+        false => departures::for_new_requester(daemon),
     };
     daemon.shared_view.with(|local_view| WireRelay {
         departures,
-        endpoints: WireNews::from(local_view.list_since(have.endpoints)),
-        config: local_view.config_texts.update_since(have.config).map(WireConfig::from),
+        endpoints: WireNews::from(local_view.list_since(positions.endpoints)),
+        config: local_view.config_texts.update_since(positions.config).map(WireConfig::from),
         age_ms,
         config_age_ms: local_view
             .catalog
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     control::message::{Leader, Message},
-    crashes::CrashExchange,
+    crashes::CrashReportExchange,
     daemon::Daemon,
     departures,
     peer::{calls, client::LeaderClient},
@@ -23,131 +23,131 @@
 
 /// Time for which the leader's last report is used after it stopped answering. The list of
 /// endpoints has caught up by then.
-const BELIEVED_MS: u64 = 3_000;
+const MAX_VIEW_AGE_MS: u64 = 3_000;
 /// Time after which a daemon that queries another group's leader tries its own leader again.
-const TRY_OWN_MS: u64 = 2_000;
+const RETRY_OWN_MS: u64 = 2_000;
 
 /// The state of the exchange between this daemon and the leaders that it queries.
 #[derive(Debug, Default)]
-struct Talk {
+struct LeaderExchange {
     client: LeaderClient,
     /// The leader that has received the demand remembered by this daemon, by its fencing number.
-    told: Option<(DomainName, u64)>,
+    informed: Option<(DomainName, u64)>,
     /// Number of consecutive leaders that did not answer.
     attempt: usize,
     /// Since when another group's leader has been queried; `None` while this daemon queries its
     /// own.
-    away_since_ms: Option<u64>,
+    substitute_since_ms: Option<u64>,
     /// Exchanges about requests under which endpoints crashed, by group and its last leader's
     /// fencing number. The exchange continues with a leader that has stepped down.
-    crashes: BTreeMap<DomainName, (u64, CrashExchange)>,
+    crashes: BTreeMap<DomainName, (u64, CrashReportExchange)>,
     /// Copies of the leader's placement logs, by service.
     placements: BTreeMap<ServiceName, PlacementMirror>,
 }
 
 /// Exchanges sync requests with the leader until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
-    let mut talk = Talk::default();
-    let mut heard_ms = 0;
-    let mut is_heard = false;
+    let mut exchange = LeaderExchange::default();
+    let mut answered_ms = 0;
+    let mut has_leader = false;
     loop {
-        let urgent = daemon.shared_view.wished();
+        let demand_added = daemon.shared_view.demand_added();
         // The leader holds a request about known demand until a requested model has arrived. New
         // demand must not wait for that answer, so it aborts such a request; but the answer about
         // new demand must not be lost.
-        let has_new = has_unanswered(&daemon);
-        let least_ms = pace(&daemon).min_ms();
-        let step = async { Some(talk.step(&daemon).await) };
+        let has_new_demand = has_unplanned_demand(&daemon);
+        let least_ms = intervals(&daemon).min_ms();
+        let sync = async { Some(exchange.sync_once(&daemon).await) };
         let interrupted = async {
-            if has_new {
+            if has_new_demand {
                 future::pending::<()>().await;
             }
             Timer::after(Duration::from_millis(least_ms)).await;
-            urgent.await;
+            demand_added.await;
             None
         };
-        let Some(synced) = step.or(interrupted).await else { continue };
-        let urgent = daemon.shared_view.wished();
+        let Some(synced) = sync.or(interrupted).await else { continue };
+        let demand_added = daemon.shared_view.demand_added();
         let now_ms = daemon.shared_view.now_ms();
-        talk.note_outcome(synced, now_ms);
-        if synced != is_heard {
-            is_heard = synced;
-            daemon.shared_view.change(|local_view| local_view.record_leader(is_heard, now_ms));
-            tracing::info!(heard = is_heard, "sync: The leader was found or lost.");
+        exchange.record_outcome(synced, now_ms);
+        if synced != has_leader {
+            has_leader = synced;
+            daemon.shared_view.change(|local_view| local_view.record_leader(has_leader, now_ms));
+            tracing::info!(heard = has_leader, "sync: The leader was found or lost.");
         }
         if synced {
-            heard_ms = now_ms;
-        } else if now_ms > heard_ms + BELIEVED_MS {
+            answered_ms = now_ms;
+        } else if now_ms > answered_ms + MAX_VIEW_AGE_MS {
             let has_read_entries = !daemon.freshness.must_reread();
             daemon.shared_view.with(|local_view| local_view.clear_replicas(has_read_entries));
         }
-        let pace = pace(&daemon);
-        let least_ms = pace.min_ms();
+        let intervals = intervals(&daemon);
+        let least_ms = intervals.min_ms();
         Timer::after(Duration::from_millis(least_ms)).await;
         let next_ms = match synced {
-            true if is_waiting(&daemon) => least_ms,
-            true => pace.idle_ms(),
+            true if has_waiting(&daemon) => least_ms,
+            true => intervals.idle_ms(),
             // The leader may only have been slow, and its report is due.
-            false => pace.waiting_ms(),
+            false => intervals.waiting_ms(),
         };
         let pause = async {
             Timer::after(Duration::from_millis(next_ms.saturating_sub(least_ms))).await;
         };
-        urgent.or(pause).await;
+        demand_added.or(pause).await;
     }
 }
 
-fn pace(daemon: &Daemon) -> SyncIntervals {
-    let askers = daemon.shared_view.with(|local_view| local_view.leader_clients);
-    SyncIntervals::new(askers, daemon.freshness.shortest_bound_ms())
+fn intervals(daemon: &Daemon) -> SyncIntervals {
+    let clients = daemon.shared_view.with(|local_view| local_view.leader_clients);
+    SyncIntervals::new(clients, daemon.freshness.shortest_bound_ms())
 }
 
-fn has_unanswered(daemon: &Daemon) -> bool {
+fn has_unplanned_demand(daemon: &Daemon) -> bool {
     daemon
         .shared_view
         .with(|local_view| local_view.local_demand.values().any(LocalDemand::has_unplanned))
 }
 
-fn is_waiting(daemon: &Daemon) -> bool {
-    let waits = |local_view: &mut LocalView| {
-        local_view.local_demand.values().any(|asked| !asked.waiting.is_empty())
+fn has_waiting(daemon: &Daemon) -> bool {
+    let has_waiting = |local_view: &mut LocalView| {
+        local_view.local_demand.values().any(|demand| !demand.waiting.is_empty())
     };
-    daemon.shared_view.with(waits)
+    daemon.shared_view.with(has_waiting)
 }
 
-impl Talk {
+impl LeaderExchange {
     /// Counts consecutive leaders that did not answer. After a while with a substitute, this
     /// daemon's own leader is tried again.
-    fn note_outcome(&mut self, synced: bool, now_ms: u64) {
+    fn record_outcome(&mut self, synced: bool, now_ms: u64) {
         if !synced {
             self.attempt += 1;
         } else if self.attempt > 0 {
-            let since_ms = *self.away_since_ms.get_or_insert(now_ms);
-            if now_ms >= since_ms + TRY_OWN_MS {
+            let since_ms = *self.substitute_since_ms.get_or_insert(now_ms);
+            if now_ms >= since_ms + RETRY_OWN_MS {
                 self.attempt = 0;
             }
         }
         if self.attempt == 0 {
-            self.away_since_ms = None;
+            self.substitute_since_ms = None;
         }
     }
 
     /// Sends one sync request. Returns whether a leader answered.
-    async fn step(&mut self, daemon: &Arc<Daemon>) -> bool {
-        let asked_ms = daemon.shared_view.now_ms();
+    async fn sync_once(&mut self, daemon: &Arc<Daemon>) -> bool {
+        let requested_ms = daemon.shared_view.now_ms();
         let (answer, leader) = match calls::leader(daemon, self.attempt).await {
             Leader::Here { group, token } => {
-                let asking = self.asking(daemon, &group, token);
-                (daemon.ask(|reply| Message::Sync { asking, reply }).await, Some((group, token)))
+                let request = self.build_request(daemon, &group, token);
+                (daemon.query(|reply| Message::Sync { request, reply }).await, Some((group, token)))
             }
             Leader::At { address, group, token } => {
-                let mut asking = self.asking(daemon, &group, token);
+                let mut request = self.build_request(daemon, &group, token);
                 let (known, exchange) = self.crashes.entry(group.clone()).or_default();
                 if *known != token {
-                    (*known, *exchange) = (token, CrashExchange::default());
+                    (*known, *exchange) = (token, CrashReportExchange::default());
                 }
-                exchange.ask(daemon, &mut asking);
-                let answer = self.client.sync(address, asking).await;
+                exchange.add_to(daemon, &mut request);
+                let answer = self.client.sync(address, request).await;
                 if let Err(error) = &answer {
                     tracing::debug!(%error, "sync: The leader did not answer.");
                 }
@@ -156,46 +156,49 @@
             Leader::Nobody => (None, None),
         };
         let Some(mut answer) = answer else {
-            daemon.tell(Message::LeaderSilent);
+            daemon.send(Message::LeaderUnresponsive);
             return false;
         };
         let exchange = leader.as_ref().and_then(|(group, _)| self.crashes.get_mut(group));
         if let Some((_, exchange)) = exchange {
-            exchange.answered(daemon, answer.refused.take());
+            exchange.record_answer(daemon, answer.refused.take());
         }
-        daemon.tell(Message::LeasesTold(answer.leases));
+        daemon.send(Message::LeasesReceived(answer.leases));
         for (group, resigned) in answer.resigned {
             let (resignation, engines) = resigned.into();
-            daemon.tell(Message::Resigned { group: group.into(), resignation, engines });
+            daemon.send(Message::Resigned { group: group.into(), resignation, engines });
         }
         if !answer.is_leader {
-            daemon.tell(Message::LeaderSilent);
+            daemon.send(Message::LeaderUnresponsive);
             return false;
         }
-        self.told = leader;
-        self.learn(daemon, answer.views);
+        self.informed = leader;
+        self.apply_views(daemon, answer.views);
         if let Some(relay) = answer.relay {
-            take_relay(daemon, relay, asked_ms);
+            apply_relay(daemon, relay, requested_ms);
         }
         true
     }
 
-    fn asking(&mut self, daemon: &Daemon, group: &DomainName, token: u64) -> WireAsking {
-        let is_told = self.told.as_ref().is_some_and(|told| (&told.0, told.1) == (group, token));
+    fn build_request(&mut self, daemon: &Daemon, group: &DomainName, token: u64) -> WireAsking {
+        let is_informed = self
+            .informed
+            .as_ref()
+            .is_some_and(|informed| (&informed.0, informed.1) == (group, token));
         WireAsking {
             vm: daemon.settings.vm.clone(),
             group: group.to_string(),
             is_leader: false,
             members: 0,
-            digests: self.digests(daemon, !is_told),
+            digests: self.demand_reports(daemon, !is_informed),
             crashes: Vec::new(),
-            have: self.have(daemon, is_told),
+            have: self.positions(daemon, is_informed),
         }
     }
 
     /// Returns the positions that this daemon has reached in the store's tables and in the
     /// leader's placement logs.
-    fn have(&self, daemon: &Daemon, departures: bool) -> WireHave {
+    fn positions(&self, daemon: &Daemon, departures: bool) -> WireHave {
         let placements = self.placements.iter();
         let placements =
             placements.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
@@ -208,41 +211,41 @@
         })
     }
 
-    fn digests(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
+    fn demand_reports(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
         let now_ms = daemon.shared_view.now_ms();
         let Some(catalog) = daemon.shared_view.catalog() else { return Vec::new() };
         let engines = catalog.services.iter().filter(|(_, service)| service.engine.is_some());
-        let nothing = PlacementMirror::default();
-        let digests = engines.map(|(service, _)| {
-            let digest = daemon
+        let empty = PlacementMirror::default();
+        let reports = engines.map(|(service, _)| {
+            let report = daemon
                 .shared_view
                 .with(|local_view| local_view.local_demand_for(service).report(is_first, now_ms));
-            let placements = self.placements.get(service).unwrap_or(&nothing);
+            let placements = self.placements.get(service).unwrap_or(&empty);
             let log = placements.position().log;
-            WireDigest::new(service, digest, log, |name| placements.number(name))
+            WireDigest::new(service, report, log, |name| placements.number(name))
         });
-        digests.collect()
+        reports.collect()
     }
 
-    fn learn(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
+    fn apply_views(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
         let now_ms = daemon.shared_view.now_ms();
-        let mut is_news = false;
-        let counted = daemon.shared_view.with(|local_view| local_view.daemons);
+        let mut has_changed = false;
+        let previously_counted = daemon.shared_view.with(|local_view| local_view.daemons);
         for (service, mut view) in views {
             let service = ServiceName::from(service);
             let placements = self.placements.entry(service.clone()).or_default();
             placements.apply_delta(std::mem::take(&mut view.placements).into());
             let planned = view.planned;
             let view = view.into_view(placements);
-            is_news |= daemon
+            has_changed |= daemon
                 .shared_view
                 .with(|local_view| local_view.update_replicas(service, view, planned, now_ms));
         }
         let daemons = daemon.shared_view.with(|local_view| local_view.daemons);
-        if counted == 0 && daemons > 0 {
+        if previously_counted == 0 && daemons > 0 {
             tracing::info!(daemons, "sync: The daemons that share budgets were counted.");
         }
-        if is_news {
+        if has_changed {
             daemon.shared_view.notify_changed();
         }
     }
@@ -251,16 +254,17 @@
 /// Applies the changes of the store that the leader relays. Changes are applied whatever their
 /// age; whether this daemon must follow the store itself depends on it. The age in an answer
 /// refers to the time at which the answer was made, which was after the request.
-fn take_relay(daemon: &Daemon, relay: WireRelay, asked_ms: u64) {
-    departures::heard_wire(daemon, relay.departures);
-    let taken = relay.config.is_none_or(|news| config::take_passed_on(daemon, &news.into()));
+fn apply_relay(daemon: &Daemon, relay: WireRelay, requested_ms: u64) {
+    departures::receive_wire(daemon, relay.departures);
+    let is_applied =
+        relay.config.is_none_or(|update| config::take_passed_on(daemon, &update.into()));
     // The age refers to the time of the answer, which was after the request.
-    if let Some(age_ms) = relay.config_age_ms.filter(|_| taken) {
-        daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
+    if let Some(age_ms) = relay.config_age_ms.filter(|_| is_applied) {
+        daemon.freshness.config_proven(requested_ms.saturating_sub(age_ms));
     }
-    let next_ms = pace(daemon).idle_ms();
+    let next_ms = intervals(daemon).idle_ms();
     let now_ms = daemon.shared_view.now_ms();
-    let age_ms = relay.age_ms + now_ms.saturating_sub(asked_ms);
+    let age_ms = relay.age_ms + now_ms.saturating_sub(requested_ms);
     let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
     if is_fresh {
         endpoints::take_passed_on(daemon, relay.endpoints.into(), age_ms);
--- a/crates/trestle-entry/src/send_permits.rs
+++ b/crates/trestle-entry/src/send_permits.rs
@@ -20,22 +20,22 @@
 /// Requests a send permit for an endpoint. Returns until when the permit is valid. If none is
 /// granted, the reason has been recorded in the local view before this returns.
 pub(crate) async fn request(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
-    let asked_ms = daemon.shared_view.now_ms();
+    let requested_ms = daemon.shared_view.now_ms();
     let incarnation = endpoint.incarnation();
-    let heard = daemon
+    let observed = daemon
         .shared_view
-        .with(|local_view| local_view.backpressure.permit_requested(&incarnation, asked_ms))?;
-    let asking = WirePlaceAsking {
+        .with(|local_view| local_view.backpressure.permit_requested(&incarnation, requested_ms))?;
+    let request = WirePlaceAsking {
         endpoint: incarnation.name.to_string(),
         born_ms: incarnation.started_unix_ms,
         group: endpoint.domain.to_string(),
-        per_ks: heard.per_ks,
-        heard_ago_ms: asked_ms.saturating_sub(heard.observed_ms),
-        silent: heard.answers_without_limit,
-        silent_ago_ms: asked_ms.saturating_sub(heard.last_without_ms),
+        per_ks: observed.per_ks,
+        heard_ago_ms: requested_ms.saturating_sub(observed.observed_ms),
+        silent: observed.answers_without_limit,
+        silent_ago_ms: requested_ms.saturating_sub(observed.last_without_ms),
         is_passed_on: false,
     };
-    let place = borrow(daemon, asking).await;
+    let place = request_from_leader(daemon, request).await;
     let now_ms = daemon.shared_view.now_ms();
     tracing::debug!(id, endpoint = %incarnation.name, ?place, "endpoint: A send permit was requested.");
     let change = |local_view: &mut trestle_dispatch::local_view::LocalView| {
@@ -46,65 +46,65 @@
                 backpressure.permit_refused(&incarnation, in_ms, now_ms)
             }
             WirePlace::NotLending => backpressure.allocator_unreachable(&incarnation, now_ms),
-            WirePlace::Lifted => return backpressure.limit_lifted(&incarnation, asked_ms),
+            WirePlace::Lifted => return backpressure.limit_lifted(&incarnation, requested_ms),
         }
         false
     };
     if daemon.shared_view.with(change) {
         tracing::info!(endpoint = %incarnation.name, "endpoint: The endpoint no longer reports a limit.");
     }
-    (place == WirePlace::Lent).then_some(asked_ms + PERMIT_VALID_MS)
+    (place == WirePlace::Lent).then_some(requested_ms + PERMIT_VALID_MS)
 }
 
 /// Asks the leader of an endpoint's group. If this daemon does not know that leader, its own
 /// leader passes the request on.
-async fn borrow(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
-    match leader_of(daemon, &asking.group).await {
-        Leader::At { address, .. } => borrow_at(daemon, address, asking).await,
+async fn request_from_leader(daemon: &Daemon, request: WirePlaceAsking) -> WirePlace {
+    match leader_of(daemon, &request.group).await {
+        Leader::At { address, .. } => request_at(daemon, address, request).await,
         // This daemon may have led until a moment ago.
-        Leader::Here { .. } => lend_here(daemon, &asking),
+        Leader::Here { .. } => grant_here(daemon, &request),
         Leader::Nobody => match calls::leader(daemon, 0).await {
-            Leader::At { address, .. } => borrow_at(daemon, address, asking).await,
-            Leader::Here { .. } | Leader::Nobody => lend_here(daemon, &asking),
+            Leader::At { address, .. } => request_at(daemon, address, request).await,
+            Leader::Here { .. } | Leader::Nobody => grant_here(daemon, &request),
         },
     }
 }
 
 async fn leader_of(daemon: &Daemon, group: &str) -> Leader {
     let group = DomainName::from(group);
-    let leader = daemon.ask(|reply| Message::LeaderOf { group, reply }).await;
+    let leader = daemon.query(|reply| Message::GroupLeader { group, reply }).await;
     leader.unwrap_or(Leader::Nobody)
 }
 
-async fn borrow_at(daemon: &Daemon, address: SocketAddr, asking: WirePlaceAsking) -> WirePlace {
-    let ask = async |client: ReplicasClient, context| client.lend_place(context, asking).await;
-    daemon.calls.call(address, ask).await.unwrap_or(WirePlace::NotLending)
+async fn request_at(daemon: &Daemon, address: SocketAddr, request: WirePlaceAsking) -> WirePlace {
+    let call = async |client: ReplicasClient, context| client.lend_place(context, request).await;
+    daemon.calls.call(address, call).await.unwrap_or(WirePlace::NotLending)
 }
 
 /// Answers a request of another daemon: decides if this daemon leads the endpoint's group, and
 /// otherwise returns the answer of the leader that does.
-pub(crate) async fn grant(daemon: &Daemon, asking: WirePlaceAsking) -> WirePlace {
-    let place = lend_here(daemon, &asking);
-    if place != WirePlace::NotLending || asking.is_passed_on {
-        return place;
+pub(crate) async fn grant(daemon: &Daemon, request: WirePlaceAsking) -> WirePlace {
+    let permit = grant_here(daemon, &request);
+    if permit != WirePlace::NotLending || request.is_passed_on {
+        return permit;
     }
-    match leader_of(daemon, &asking.group).await {
+    match leader_of(daemon, &request.group).await {
         Leader::At { address, .. } => {
-            borrow_at(daemon, address, WirePlaceAsking { is_passed_on: true, ..asking }).await
+            request_at(daemon, address, WirePlaceAsking { is_passed_on: true, ..request }).await
         }
-        Leader::Here { .. } | Leader::Nobody => place,
+        Leader::Here { .. } | Leader::Nobody => permit,
     }
 }
 
 /// Decides on a send permit by the lease that this daemon holds at this moment.
-fn lend_here(daemon: &Daemon, asking: &WirePlaceAsking) -> WirePlace {
-    let group = DomainName::from(asking.group.as_str());
+fn grant_here(daemon: &Daemon, request: &WirePlaceAsking) -> WirePlace {
+    let group = DomainName::from(request.group.as_str());
     let incarnation =
-        Incarnation { name: asking.endpoint.as_str().into(), started_unix_ms: asking.born_ms };
-    let place = daemon.with_endpoint_limits(|limits| {
+        Incarnation { name: request.endpoint.as_str().into(), started_unix_ms: request.born_ms };
+    let permit = daemon.with_endpoint_limits(|limits| {
         let now_ms = daemon.shared_view.now_ms();
         let lease = daemon.order_permits.held(now_ms).remove(&group);
-        limits.request_permit(&incarnation, &group, lease, asking.heard(now_ms), now_ms)
+        limits.request_permit(&incarnation, &group, lease, request.heard(now_ms), now_ms)
     });
-    place.into()
+    permit.into()
 }
--- a/crates/trestle-entry/src/settings_watch.rs
+++ b/crates/trestle-entry/src/settings_watch.rs
@@ -16,7 +16,7 @@
 
 /// Time between two checks of the file. A check takes some 20 us; operators expect a change to
 /// apply within seconds.
-const LOOK_MS: u64 = 1_000;
+const CHECK_MS: u64 = 1_000;
 
 /// The settings file of a running daemon.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// Checks the file until the process terminates.
     pub(crate) async fn run(self: Arc<Self>, daemon: Arc<Daemon>) {
         loop {
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+            Timer::after(Duration::from_millis(CHECK_MS)).await;
             if self.has_changed() {
                 self.reread(&daemon);
             }
@@ -61,11 +61,11 @@
                 return;
             }
         };
-        daemon.take_bounds(&settings.bounds);
+        daemon.apply_bounds(&settings.bounds);
         let started_with = &daemon.settings;
-        let mut rest = settings.clone();
-        rest.bounds = started_with.bounds.clone();
-        let needs_restart = rest != *started_with;
+        let mut comparable = settings.clone();
+        comparable.bounds = started_with.bounds.clone();
+        let needs_restart = comparable != *started_with;
         let bounds = &settings.bounds;
         tracing::info!(?bounds, needs_restart, "settings: Read again; bounds are in force.");
     }
--- a/crates/trestle-entry/src/shared_view.rs
+++ b/crates/trestle-entry/src/shared_view.rs
@@ -19,17 +19,17 @@
 /// Longest time by which one daemon accepts a refused request later than another does. It is
 /// several times as long as the report that an endpoint crashed under the request takes to reach
 /// the other daemons.
-const MOST_LATE_MS: u64 = 5_000;
+const MAX_RELEASE_DELAY_MS: u64 = 5_000;
 
 /// The local view of one daemon behind a lock, with events for its changes.
 #[derive(Debug)]
 pub(crate) struct SharedView {
     local_view: Mutex<LocalView>,
     changed: Event,
-    wished: Event,
+    demand: Event,
     forwarded: Event,
     /// Leaders that serve demand which has not been reported to them yet.
-    to_hear: Mutex<BTreeSet<SocketAddr>>,
+    leaders_to_notify: Mutex<BTreeSet<SocketAddr>>,
     clock: Clock,
 }
 
@@ -41,19 +41,19 @@
         let mut local_view = LocalView::new(domain, bounds.leaving_ms, retry_bounds(bounds));
         local_view.policy = policy;
         local_view.quota_bounds = quota_bounds(bounds);
-        local_view.crashes = Crashes::with_delay(fastrand::u64(..MOST_LATE_MS));
+        local_view.crashes = Crashes::with_delay(fastrand::u64(..MAX_RELEASE_DELAY_MS));
         Self {
             local_view: Mutex::new(local_view),
             changed: Event::new(),
-            wished: Event::new(),
+            demand: Event::new(),
             forwarded: Event::new(),
-            to_hear: Mutex::default(),
+            leaders_to_notify: Mutex::default(),
             clock,
         }
     }
 
     /// Applies changed bounds from the settings.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
         self.with(|local_view| {
             local_view.retry_bounds = retry_bounds(bounds);
             local_view.quota_bounds = quota_bounds(bounds);
@@ -67,8 +67,8 @@
     }
 
     /// Reads the local view, or makes a change for which no task waits.
-    pub(crate) fn with<R>(&self, look: impl FnOnce(&mut LocalView) -> R) -> R {
-        look(&mut self.local_view.lock().unwrap_or_else(PoisonError::into_inner))
+    pub(crate) fn with<R>(&self, f: impl FnOnce(&mut LocalView) -> R) -> R {
+        f(&mut self.local_view.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Changes the local view, and wakes all tasks that wait for a change.
@@ -90,36 +90,36 @@
     }
 
     /// Returns a listener for the next request that has to wait.
-    pub(crate) fn wished(&self) -> EventListener {
-        self.wished.listen()
+    pub(crate) fn demand_added(&self) -> EventListener {
+        self.demand.listen()
     }
 
     /// Signals that a request has to wait.
     pub(crate) fn notify_demand(&self) {
-        self.wished.notify(usize::MAX);
+        self.demand.notify(usize::MAX);
     }
 
     /// Returns a listener for the next demand that must be reported to another leader.
-    pub(crate) fn forwarded(&self) -> EventListener {
+    pub(crate) fn demand_forwarded(&self) -> EventListener {
         self.forwarded.listen()
     }
 
     /// Marks leaders that serve demand which has not been reported to them yet.
-    pub(crate) fn forward(&self, leaders: BTreeSet<SocketAddr>) {
+    pub(crate) fn forward_demand(&self, leaders: BTreeSet<SocketAddr>) {
         if leaders.is_empty() {
             return;
         }
-        self.to_hear().extend(leaders);
+        self.leaders_to_notify().extend(leaders);
         self.forwarded.notify(usize::MAX);
     }
 
     /// Returns whether a leader has been marked since the last call, and removes the mark.
-    pub(crate) fn must_hear(&self, leader: SocketAddr) -> bool {
-        self.to_hear().remove(&leader)
+    pub(crate) fn must_notify(&self, leader: SocketAddr) -> bool {
+        self.leaders_to_notify().remove(&leader)
     }
 
-    fn to_hear(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
-        self.to_hear.lock().unwrap_or_else(PoisonError::into_inner)
+    fn leaders_to_notify(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
+        self.leaders_to_notify.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the configuration in force; `None` before the first one.
--- a/crates/trestle-entry/src/signals.rs
+++ b/crates/trestle-entry/src/signals.rs
@@ -19,36 +19,36 @@
     sent_ms: u64,
 ) {
     let (status, headers) = (response.status(), response.headers());
-    let notice = (daemon.wire.head.read_signals)(status, headers);
+    let signals = (daemon.wire.head.read_signals)(status, headers);
     let is_success = status.is_success();
-    take(daemon, endpoint, Answer { signals: &notice, is_success, id, sent_ms });
+    apply(daemon, endpoint, Answer { signals: &signals, is_success, id, sent_ms });
 }
 
 /// Processes the signals in the answer to an order or a report request. The absence of signals
 /// there has no meaning, since no request was served.
 pub(crate) fn process_call(daemon: &Daemon, endpoint: &Endpoint, answer: &exchange::Answer) {
     let Ok(status) = StatusCode::from_u16(answer.status) else { return };
-    let notice = (daemon.wire.head.read_signals)(status, &answer.headers);
-    let said = Answer { signals: &notice, is_success: false, id: ORDER_ID, sent_ms: 0 };
-    take(daemon, endpoint, said);
+    let signals = (daemon.wire.head.read_signals)(status, &answer.headers);
+    let answer_signals = Answer { signals: &signals, is_success: false, id: ORDER_ID, sent_ms: 0 };
+    apply(daemon, endpoint, answer_signals);
 }
 
-fn take(daemon: &Daemon, endpoint: &Endpoint, answer: Answer<'_>) {
+fn apply(daemon: &Daemon, endpoint: &Endpoint, answer: Answer<'_>) {
     let now_ms = daemon.shared_view.now_ms();
     let incarnation = endpoint.incarnation();
-    let heard =
+    let changes =
         daemon.shared_view.with(|local_view| local_view.apply_answer(&incarnation, answer, now_ms));
-    for news in &heard {
-        log(endpoint, news, answer.id);
+    for change in &changes {
+        log(endpoint, change, answer.id);
     }
-    if !heard.is_empty() {
+    if !changes.is_empty() {
         daemon.shared_view.notify_changed();
     }
 }
 
-fn log(endpoint: &Endpoint, news: &SignalChange, id: &str) {
+fn log(endpoint: &Endpoint, change: &SignalChange, id: &str) {
     let (endpoint, born_ms) = (&endpoint.name, endpoint.started_unix_ms);
-    match news {
+    match change {
         SignalChange::Limit { per_ks } => {
             let limit_per_s = *per_ks as f64 / 1e3;
             tracing::info!(%endpoint, born_ms, limit_per_s, heard_in = id, "endpoint: The endpoint reports a limit.");
--- a/crates/trestle-entry/src/stop.rs
+++ b/crates/trestle-entry/src/stop.rs
@@ -5,7 +5,8 @@
 //! end, and finally the leases are released.
 
 use crate::{
-    control::message::Message, daemon::Daemon, stopping::NOTICE_MS, traffic::serve::Closing,
+    control::message::Message, daemon::Daemon, stopping::BALANCER_NOTICE_MS,
+    traffic::serve::Closing,
 };
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
@@ -17,9 +18,9 @@
 };
 
 /// Time limit for the release of the leases; the store may be unreachable.
-const LEAVE_MS: u64 = 1_500;
+const RELEASE_MS: u64 = 1_500;
 /// Time between two checks whether all connections are closed.
-const LOOK_MS: u64 = 20;
+const CHECK_MS: u64 = 20;
 
 /// Serves until a stop signal, then stops.
 ///
@@ -43,34 +44,34 @@
     let elapsed_ms = || daemon.shared_view.now_ms() - started_ms;
     tracing::info!(in_flight = daemon.in_flight.load(Ordering::Relaxed), "stop: Stopping.");
     daemon.stopping.begin(started_ms);
-    Timer::after(Duration::from_millis(NOTICE_MS.saturating_sub(elapsed_ms()))).await;
+    Timer::after(Duration::from_millis(BALANCER_NOTICE_MS.saturating_sub(elapsed_ms()))).await;
     closing.close();
     // Orders continue meanwhile, since for a while after the release of the leases no daemon may
     // give any, and this daemon's own requests still wait for models.
-    let drained_by_ms = daemon.stopping.limit_ms() - LEAVE_MS;
+    let drained_by_ms = daemon.stopping.limit_ms() - RELEASE_MS;
     let drained = async {
         while closing.open() > 0 && elapsed_ms() < drained_by_ms {
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+            Timer::after(Duration::from_millis(CHECK_MS)).await;
         }
     };
     drained.await;
-    leave(daemon).await;
+    release_leases(daemon).await;
     let limit_ms = daemon.stopping.limit_ms();
     while closing.open() > 0 && elapsed_ms() < limit_ms {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
     tracing::info!(open = closing.open(), "stop: Stopped.");
     Ok(())
 }
 
-async fn leave(daemon: &Daemon) {
-    let left = async {
+async fn release_leases(daemon: &Daemon) {
+    let released = async {
         // Without a control thread there is no lease to release.
-        let _ = daemon.ask(Message::Stop).await;
+        let _ = daemon.query(Message::Stop).await;
     };
     let timed_out = async {
-        Timer::after(Duration::from_millis(LEAVE_MS)).await;
+        Timer::after(Duration::from_millis(RELEASE_MS)).await;
         tracing::warn!("stop: The leases could not be released in time; they will expire.");
     };
-    left.or(timed_out).await;
+    released.or(timed_out).await;
 }
--- a/crates/trestle-entry/src/stopping.rs
+++ b/crates/trestle-entry/src/stopping.rs
@@ -5,11 +5,11 @@
 
 /// Time in which the balancer notices that the daemon is not ready: it asks once a second and acts
 /// on the second answer.
-pub(crate) const NOTICE_MS: u64 = 2_600;
+pub(crate) const BALANCER_NOTICE_MS: u64 = 2_600;
 /// Time reserved for requests that have been sent to an endpoint; most streams end within it.
-const RUN_MS: u64 = 2_500;
+const SENT_REQUESTS_MS: u64 = 2_500;
 /// Unused part of the time for a stop, so that the process terminates on its own.
-const SPARE_MS: u64 = 300;
+const RESERVE_MS: u64 = 300;
 
 /// Whether the daemon is stopping, and since when.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     }
 
     /// Applies changed bounds from the settings.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
         self.limit_ms.store(limit_ms(bounds), Ordering::SeqCst);
     }
 
@@ -51,14 +51,14 @@
     /// finished before the stop is.
     pub(crate) fn can_accept(&self, now_ms: u64, allowed_ms: u64) -> bool {
         let since_ms = self.since_ms();
-        let is_noticed = since_ms > 0 && now_ms > since_ms + NOTICE_MS;
-        !is_noticed || now_ms + allowed_ms < since_ms + self.limit_ms()
+        let has_balancer_noticed = since_ms > 0 && now_ms > since_ms + BALANCER_NOTICE_MS;
+        !has_balancer_noticed || now_ms + allowed_ms < since_ms + self.limit_ms()
     }
 
     /// Returns whether a request that has not been sent to an endpoint can still be sent.
     pub(crate) fn can_send(&self, now_ms: u64) -> bool {
         let since_ms = self.since_ms();
-        since_ms == 0 || now_ms < since_ms + self.limit_ms().saturating_sub(RUN_MS)
+        since_ms == 0 || now_ms < since_ms + self.limit_ms().saturating_sub(SENT_REQUESTS_MS)
     }
 
     fn since_ms(&self) -> u64 {
@@ -67,5 +67,5 @@
 }
 
 fn limit_ms(bounds: &Bounds) -> u64 {
-    (bounds.stop_s * 1_000).saturating_sub(SPARE_MS)
+    (bounds.stop_s * 1_000).saturating_sub(RESERVE_MS)
 }
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -24,13 +24,13 @@
 /// The permission of one request to run although endpoints may have crashed under it.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
-    begun: Mutex<Option<Begun>>,
+    attempt: Mutex<Option<PermittedAttempt>>,
 }
 
 /// A permitted attempt. When it is dropped, other attempts may run if no endpoint can crash under
 /// this one any more; otherwise they are held off until a crash would be known.
 #[derive(Debug)]
-struct Begun {
+struct PermittedAttempt {
     daemon: Arc<Daemon>,
     request: Fingerprint,
     number: u64,
@@ -41,7 +41,7 @@
 impl Trial {
     /// Returns whether an attempt is permitted.
     pub(crate) fn is_permitted(&self) -> bool {
-        self.begun().is_some()
+        self.attempt().is_some()
     }
 
     /// Asks a leader for permission.
@@ -55,16 +55,17 @@
         request: Fingerprint,
     ) -> Result<(), u64> {
         let number = daemon.next_number();
-        let asked = ask(daemon, of_this_vm(daemon, request, number, false)).await;
+        let answer = ask_leader(daemon, wire_trial(daemon, request, number, false)).await;
         let is_known =
             daemon.shared_view.with(|local_view| local_view.crashes.must_run_serially(request));
-        tracing::info!(%request, answer = ?asked, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
-        match asked {
+        tracing::info!(%request, answer = ?answer, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
+        match answer {
             // A request that is only suspected is not refused because no leader answers.
             WireTrialAnswer::Undecided if is_known => Err(NO_LEADER_MS),
             WireTrialAnswer::Runs | WireTrialAnswer::Undecided => {
-                let begun = Begun { daemon: Arc::clone(daemon), request, number, at: None };
-                *self.begun() = Some(begun);
+                let attempt =
+                    PermittedAttempt { daemon: Arc::clone(daemon), request, number, at: None };
+                *self.attempt() = Some(attempt);
                 Ok(())
             }
             WireTrialAnswer::Waits { for_ms } => Err(for_ms),
@@ -74,83 +75,84 @@
     /// Records that the attempt is being sent to an endpoint, which may crash under it from now
     /// on.
     pub(crate) fn sent(&self, endpoint: &Endpoint) {
-        if let Some(begun) = &mut *self.begun() {
-            begun.at = Some(endpoint.clone());
+        if let Some(attempt) = &mut *self.attempt() {
+            attempt.at = Some(endpoint.clone());
         }
     }
 
     /// Records that the endpoint has not crashed under the attempt, because it did not run there
     /// or was answered.
     pub(crate) fn settled(&self) {
-        if let Some(begun) = &mut *self.begun() {
-            begun.at = None;
+        if let Some(attempt) = &mut *self.attempt() {
+            attempt.at = None;
         }
     }
 
     /// Records that the attempt may have run without a complete answer. The request needs a new
     /// permission.
     pub(crate) fn unanswered(&self) {
-        drop(self.begun().take());
+        drop(self.attempt().take());
     }
 
-    fn begun(&self) -> MutexGuard<'_, Option<Begun>> {
-        self.begun.lock().unwrap_or_else(PoisonError::into_inner)
+    fn attempt(&self) -> MutexGuard<'_, Option<PermittedAttempt>> {
+        self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Begun {
+impl Drop for PermittedAttempt {
     fn drop(&mut self) {
         let (daemon, request, number) = (Arc::clone(&self.daemon), self.request, self.number);
         if let Some(endpoint) = self.at.take() {
-            smol::spawn(find_out(daemon, endpoint, request)).detach();
+            smol::spawn(check_later(daemon, endpoint, request)).detach();
             return;
         }
-        let told = async move { ask(&daemon, of_this_vm(&daemon, request, number, true)).await };
-        smol::spawn(told).detach();
+        let report =
+            async move { ask_leader(&daemon, wire_trial(&daemon, request, number, true)).await };
+        smol::spawn(report).detach();
     }
 }
 
 /// Checks after a delay whether an endpoint has crashed under a request whose answer was not
 /// awaited.
-async fn find_out(daemon: Arc<Daemon>, endpoint: Endpoint, request: Fingerprint) {
+async fn check_later(daemon: Arc<Daemon>, endpoint: Endpoint, request: Fingerprint) {
     Timer::after(Duration::from_millis(MAX_CRASH_DELAY_MS)).await;
     connection_loss::record_lost(&daemon, &endpoint, Some(request));
 }
 
-fn of_this_vm(daemon: &Daemon, request: Fingerprint, number: u64, has_ended: bool) -> WireTrial {
+fn wire_trial(daemon: &Daemon, request: Fingerprint, number: u64, has_ended: bool) -> WireTrial {
     let request = *request.as_bytes();
     let vm = daemon.settings.vm.clone();
     WireTrial { vm, request, number, has_ended, is_passed_on: false }
 }
 
 /// Asks this daemon's leader, or another leader if that one does not decide.
-async fn ask(daemon: &Daemon, trial: WireTrial) -> WireTrialAnswer {
-    let ask = async |leader: Leader| {
+async fn ask_leader(daemon: &Daemon, trial: WireTrial) -> WireTrialAnswer {
+    let call = async |leader: Leader| {
         let answer = match leader {
             Leader::Here { .. } => decide(daemon, trial.clone()).await,
-            Leader::At { address, .. } => ask_at(daemon, address, trial.clone()).await,
+            Leader::At { address, .. } => ask_leader_at(daemon, address, trial.clone()).await,
             Leader::Nobody => WireTrialAnswer::Undecided,
         };
         Some(answer).filter(|answer| *answer != WireTrialAnswer::Undecided)
     };
-    calls::first_answer(daemon, ask).await.unwrap_or(WireTrialAnswer::Undecided)
+    calls::first_answer(daemon, call).await.unwrap_or(WireTrialAnswer::Undecided)
 }
 
-async fn ask_at(daemon: &Daemon, address: SocketAddr, trial: WireTrial) -> WireTrialAnswer {
-    let ask = async |client: ReplicasClient, context| client.try_out(context, trial).await;
-    daemon.calls.call(address, ask).await.unwrap_or(WireTrialAnswer::Undecided)
+async fn ask_leader_at(daemon: &Daemon, address: SocketAddr, trial: WireTrial) -> WireTrialAnswer {
+    let call = async |client: ReplicasClient, context| client.try_out(context, trial).await;
+    daemon.calls.call(address, call).await.unwrap_or(WireTrialAnswer::Undecided)
 }
 
 /// Decides on an attempt, or asks the leader that does. For each request one leader decides,
 /// whichever leader the receiving daemon queries.
 pub(crate) async fn decide(daemon: &Daemon, mut trial: WireTrial) -> WireTrialAnswer {
     let request = Fingerprint::from_bytes(trial.request);
-    let (leader, since_ms) = calls::leader_for(daemon, request.to_string()).await;
+    let (leader, since_ms) = calls::decision_leader(daemon, request.to_string()).await;
     match leader {
         Leader::Here { .. } => decide_here(daemon, &trial, since_ms),
         Leader::At { address, .. } if !trial.is_passed_on => {
             trial.is_passed_on = true;
-            ask_at(daemon, address, trial).await
+            ask_leader_at(daemon, address, trial).await
         }
         Leader::At { .. } | Leader::Nobody => WireTrialAnswer::Undecided,
     }
