--- a/crates/trestle-entry/src/allocation.rs
+++ b/crates/trestle-entry/src/allocation.rs
@@ -1,5 +1,5 @@
-//! Parts of team limits. Daemons request allocations from their leader, and leaders from each
-//! other.
+//! Allocation of team limits: daemons request parts of a limit from their leader, and leaders from
+//! each other.
 
 use crate::{
     control::message::{Leader, Message},
--- a/crates/trestle-entry/src/control/held_answers.rs
+++ b/crates/trestle-entry/src/control/held_answers.rs
@@ -19,8 +19,8 @@
 
 /// Longest time to hold an answer about new demand: another leader plans within some 30 ms.
 const MAX_HOLD_NEW_MS: u64 = 100;
-/// Longest time to hold an answer about known demand: engine loads and changes in the store must
-/// be reported meanwhile.
+/// Longest time to hold an answer about known demand: the load on engines and changes in the
+/// store must be reported meanwhile.
 const MAX_HOLD_KNOWN_MS: u64 = 120;
 
 /// A requester whose answer is held.
--- a/crates/trestle-entry/src/control/leaders.rs
+++ b/crates/trestle-entry/src/control/leaders.rs
@@ -56,7 +56,7 @@
             members: self.members.count(now_ms) as u32,
             digests,
             crashes: Vec::new(),
-            have: have,
+            have,
         };
         (request, has_new_demand)
     }
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -298,7 +298,7 @@
         self.by_group.values().any(|lease| lease.is_holder(now_ms))
     }
 
-    /// Returns whether this daemon held a lease at the last check.
+    /// Returns whether this daemon held a lease at the last tick.
     pub(crate) fn is_acting(&self) -> bool {
         self.is_acting
     }
--- a/crates/trestle-entry/src/control/service_view.rs
+++ b/crates/trestle-entry/src/control/service_view.rs
@@ -13,8 +13,8 @@
 };
 use trestle_wire::replicas::{WireView, to_ready};
 
-/// Longest age of a view that is sent again without a rebuild. It adds less to the age at the
-/// receiver than the network and the pause between two sync requests do.
+/// Age up to which a view that was built for one daemon is also sent to the next. This adds less to
+/// the age at the receiver than the network delay and the pause between two sync requests.
 const MAX_AGE_MS: u64 = 30;
 /// Most pending loads whose remaining time is sent to all daemons. If there are more, each daemon
 /// receives only those that its own callers wait for; a daemon that has no entry for a model asks
--- a/crates/trestle-entry/src/peer/leaders.rs
+++ b/crates/trestle-entry/src/peer/leaders.rs
@@ -11,8 +11,9 @@
 
 /// Time between two checks of who leads.
 const CHECK_MS: u64 = 200;
-/// Time between two requests to a leader while nothing here waits for it. Reported loads of its
-/// engines are at most that old, plus the pause of the daemon that reads them.
+/// Time between two requests to a leader while nothing here waits for it. Reports of the
+/// load on its engines are at most that old, plus the pause between two requests of the daemon that
+/// receives them.
 const IDLE_GAP_MS: u64 = 150;
 /// Shortest time between two requests to a leader.
 const MIN_GAP_MS: u64 = 40;
@@ -27,8 +28,8 @@
         tasks.retain(|(address, token), _| others.get(address).is_some_and(|of| of.1 == *token));
         for (address, (group, token)) in others {
             let daemon = Arc::clone(&daemon);
-            let exchange_with = || smol::spawn(exchange_with(daemon, address, group));
-            tasks.entry((address, token)).or_insert_with(exchange_with);
+            let start = || smol::spawn(exchange_with(daemon, address, group));
+            tasks.entry((address, token)).or_insert_with(start);
         }
         Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -56,13 +56,13 @@
         // demand must not wait for that answer, so it aborts such a request; but the answer about
         // new demand must not be lost.
         let has_new_demand = has_unplanned_demand(&daemon);
-        let least_ms = intervals(&daemon).min_ms();
+        let min_ms = intervals(&daemon).min_ms();
         let sync = async { Some(exchange.sync_once(&daemon).await) };
         let interrupted = async {
             if has_new_demand {
                 future::pending::<()>().await;
             }
-            Timer::after(Duration::from_millis(least_ms)).await;
+            Timer::after(Duration::from_millis(min_ms)).await;
             demand_added.await;
             None
         };
@@ -82,16 +82,16 @@
             daemon.shared_view.with(|local_view| local_view.clear_replicas(has_read_entries));
         }
         let intervals = intervals(&daemon);
-        let least_ms = intervals.min_ms();
-        Timer::after(Duration::from_millis(least_ms)).await;
+        let min_ms = intervals.min_ms();
+        Timer::after(Duration::from_millis(min_ms)).await;
         let next_ms = match synced {
-            true if has_waiting(&daemon) => least_ms,
+            true if has_waiting(&daemon) => min_ms,
             true => intervals.idle_ms(),
             // The leader may only have been slow, and its report is due.
             false => intervals.waiting_ms(),
         };
         let pause = async {
-            Timer::after(Duration::from_millis(next_ms.saturating_sub(least_ms))).await;
+            Timer::after(Duration::from_millis(next_ms.saturating_sub(min_ms))).await;
         };
         demand_added.or(pause).await;
     }
--- a/crates/trestle-entry/src/send_permits.rs
+++ b/crates/trestle-entry/src/send_permits.rs
@@ -1,5 +1,5 @@
-//! Send permits for endpoints that have reported limits. Daemons request one from the leader of
-//! the endpoint's group for each request.
+//! Send permits for endpoints that have reported limits. For each request a daemon obtains one permit
+//! from the leader of the endpoint's group.
 
 use crate::{
     control::message::{Leader, Message},
