--- a/crates/trestle-entry/src/control/group_lease.rs
+++ b/crates/trestle-entry/src/control/group_lease.rs
@@ -119,7 +119,7 @@
         if (may_write || (may_acquire() && self.daemon.store.may_try()))
             && let Some(mut write) = self.lease.due_write(now_ms)
         {
-            write.row.refused = crashes::refused_for_row(&self.daemon);
+            write.row.refused = crashes::rejected_for_row(&self.daemon);
             write.row.departures = departures::for_row(&self.daemon);
             let (daemon, group) = (Arc::clone(&self.daemon), self.group.clone());
             smol::spawn(send(daemon, group, write, now_ms)).detach();
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -1,8 +1,8 @@
 //! Reports among daemons on requests under which endpoints crashed.
 //!
 //! Daemons report to their leader, leaders report to each other, and a leader answers with the
-//! requests that are refused; each message holds only what has changed. The lease rows keep the
-//! refused requests for daemons that restart.
+//! requests that are restricted (rejected, or run one attempt at a time); each message holds only
+//! what has changed. The lease rows keep the rejected requests for daemons that restart.
 
 use crate::daemon::Daemon;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
     replicas::WireAsking,
 };
 
-/// Most refused requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
+/// Most rejected requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
 const MAX_IN_ROW: usize = 24;
 
 /// The state of the exchange between this daemon and a leader that it queries.
@@ -42,7 +42,7 @@
         self.in_flight = number;
     }
 
-    /// Records the leader's answer, with the requests that it reports as refused.
+    /// Records the leader's answer, with the requests that it reports as restricted.
     pub(crate) fn record_answer(&mut self, daemon: &Daemon, refused: Option<WireRefused>) {
         self.acknowledged = self.in_flight;
         if let Some(refused) = refused {
@@ -67,7 +67,7 @@
             .shared_view
             .with(|local_view| local_view.crashes.record_crash(*request, incarnation, now_ms))
         {
-            log_refused(*request);
+            log_rejected(*request);
         }
     }
     daemon.shared_view.notify_demand();
@@ -79,23 +79,23 @@
         return;
     }
     let now_ms = daemon.shared_view.now_ms();
-    let (refused, readmitted) = daemon.shared_view.with(|local_view| {
-        let is_refused = |report: &&CrashReport, crashes: &Crashes| {
+    let (rejected, readmitted) = daemon.shared_view.with(|local_view| {
+        let is_rejected = |report: &&CrashReport, crashes: &Crashes| {
             crashes.refused_for_ms(report.request, now_ms).is_some()
         };
-        let before = reports.iter().filter(|report| is_refused(report, &local_view.crashes));
+        let before = reports.iter().filter(|report| is_rejected(report, &local_view.crashes));
         let before: Vec<&CrashReport> = before.collect();
-        let refused = local_view.crashes.apply_reports(reports, now_ms);
-        let after = before.into_iter().filter(|report| !is_refused(report, &local_view.crashes));
-        (refused, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
+        let rejected = local_view.crashes.apply_reports(reports, now_ms);
+        let after = before.into_iter().filter(|report| !is_rejected(report, &local_view.crashes));
+        (rejected, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
     });
     for request in readmitted {
-        tracing::warn!(%request, "request: Another daemon received a complete answer; the request is no longer refused.");
+        tracing::warn!(%request, "request: Another daemon received a complete answer; the request is no longer rejected.");
     }
-    if !refused.is_empty() {
-        // Waiting requests that are refused now must be woken.
+    if !rejected.is_empty() {
+        // Waiting requests that are rejected now must be woken.
         daemon.shared_view.notify_changed();
-        refused.into_iter().for_each(log_refused);
+        rejected.into_iter().for_each(log_rejected);
     }
 }
 
@@ -105,28 +105,28 @@
     receive(daemon, &reports);
 }
 
-/// Returns the refused requests for a requester that has received the changes up to `number`;
+/// Returns the restricted requests for a requester that has received the changes up to `number`;
 /// `None` if there are no further ones.
-pub(crate) fn refused_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
+pub(crate) fn restricted_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
     let now_ms = daemon.shared_view.now_ms();
-    let (refused, number) = daemon.shared_view.with(|local_view| {
+    let (restricted, number) = daemon.shared_view.with(|local_view| {
         // Nearly all requesters are up to date, and each asks several times a second.
         let has_changes = local_view.crashes.last_restricted_change() > number;
         has_changes.then(|| local_view.crashes.restricted_reports(now_ms))
     })?;
-    Some(WireRefused { crashes: refused.into_iter().map(WireCrash::from).collect(), number })
+    Some(WireRefused { crashes: restricted.into_iter().map(WireCrash::from).collect(), number })
 }
 
-/// Returns the refused requests, limited to what a lease row holds.
-pub(crate) fn refused_for_row(daemon: &Daemon) -> Vec<CrashReport> {
+/// Returns the rejected requests, limited to what a lease row holds.
+pub(crate) fn rejected_for_row(daemon: &Daemon) -> Vec<CrashReport> {
     let now_ms = daemon.shared_view.now_ms();
-    let (mut refused, _) =
+    let (mut rejected, _) =
         daemon.shared_view.with(|local_view| local_view.crashes.restricted_reports(now_ms));
-    refused.retain(|report| report.crashes.len() >= MAX_CRASHES);
-    refused.truncate(MAX_IN_ROW);
-    refused
+    rejected.retain(|report| report.crashes.len() >= MAX_CRASHES);
+    rejected.truncate(MAX_IN_ROW);
+    rejected
 }
 
-fn log_refused(request: Fingerprint) {
-    tracing::warn!(%request, ends = MAX_CRASHES, "request: The request crashes endpoints; it is refused from now on.");
+fn log_rejected(request: Fingerprint) {
+    tracing::warn!(%request, ends = MAX_CRASHES, "request: The request crashes endpoints; it is rejected from now on.");
 }
--- a/crates/trestle-entry/src/shared_view.rs
+++ b/crates/trestle-entry/src/shared_view.rs
@@ -16,7 +16,7 @@
     retry_share::RetryBounds,
 };
 
-/// Longest time by which one daemon accepts a refused request later than another does. It is
+/// Longest time by which one daemon admits a rejected request later than another does. It is
 /// several times as long as the report that an endpoint crashed under the request takes to reach
 /// the other daemons.
 const MAX_RELEASE_DELAY_MS: u64 = 5_000;
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -60,7 +60,7 @@
             daemon.shared_view.with(|local_view| local_view.crashes.must_run_serially(request));
         tracing::info!(%request, answer = ?answer, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
         match answer {
-            // A request that is only suspected is not refused because no leader answers.
+            // A request that is only suspected is not rejected because no leader answers.
             WireTrialAnswer::Undecided if is_known => Err(NO_LEADER_MS),
             WireTrialAnswer::Runs | WireTrialAnswer::Undecided => {
                 let attempt =
