--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -1,7 +1,7 @@
-//! Serves other daemons.
+//! The server for other daemons.
 
 use crate::{
-    control::message::Message, crashes, daemon::Daemon, departures, lending, places, trial,
+    allocation, control::message::Message, crashes, daemon::Daemon, departures, send_permits, trial,
 };
 use async_compat::{Compat, CompatExt};
 use futures_util::StreamExt;
@@ -22,10 +22,10 @@
     trials::{WireTrial, WireTrialAnswer},
 };
 
-/// Questions of one connection that are answered at the same time.
-const MOST_ANSWERING: usize = 16;
+/// Most requests of one connection that are handled at the same time.
+const MAX_CONCURRENT: usize = 16;
 
-/// Serves other daemons until the process ends.
+/// Serves other daemons until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -37,41 +37,42 @@
 
 async fn serve(daemon: Arc<Daemon>, stream: TcpStream) {
     if let Err(error) = crate::net::connect::set_options(&stream) {
-        tracing::debug!(%error, "peer: A connection has the system's own options.");
+        tracing::debug!(%error, "peer: Socket options could not be set; the connection keeps the system's defaults.");
     }
     let framed = LengthDelimitedCodec::builder().new_framed(stream.compat());
     let transport = serde_transport::new(framed, Bincode::default());
     let requests = BaseChannel::with_defaults(transport).execute(Server(daemon).serve());
-    // Most daemons ask again only when they have their answer.
-    let each = requests.for_each_concurrent(MOST_ANSWERING, |answering| answering);
+    // Most daemons send their next request only after they have received an answer.
+    let each = requests.for_each_concurrent(MAX_CONCURRENT, |handling| handling);
     Compat::new(each).await;
 }
 
-/// Answers the questions of other daemons.
+/// The handler of other daemons' requests.
 #[derive(Clone)]
 struct Server(Arc<Daemon>);
 
 impl Replicas for Server {
-    async fn sync(self, _: Context, mut asking: WireAsking) -> WireSynced {
-        let (have, is_leader) = (asking.have.clone(), asking.is_leader);
-        crashes::heard_wire(&self.0, std::mem::take(&mut asking.crashes));
-        let synced = self.0.ask(|reply| Message::Sync { asking, reply }).await;
+    async fn sync(self, _: Context, mut request: WireAsking) -> WireSynced {
+        let (positions, is_leader) = (request.have.clone(), request.is_leader);
+        crashes::receive_wire(&self.0, std::mem::take(&mut request.crashes));
+        let synced = self.0.query(|reply| Message::Sync { request, reply }).await;
         let mut synced = synced.unwrap_or_default();
-        // That takes no lease: while nobody can renew one, daemons hear of each other's ends by this.
-        synced.refused = crashes::refused_after(&self.0, have.refused);
+        // This requires no lease: while no leader can renew its lease, daemons still learn of each
+        // other's crash reports this way.
+        synced.refused = crashes::restricted_after(&self.0, positions.refused);
         // Leaders follow the store themselves.
         if synced.is_leader && !is_leader {
-            synced.relay = Some(relay(&self.0, have));
+            synced.relay = Some(relay(&self.0, positions));
         }
         synced
     }
 
-    async fn lend(self, _: Context, borrowing: WireBorrowing) -> WireLoan {
-        lending::lend(&self.0, borrowing).await
+    async fn lend(self, _: Context, request: WireBorrowing) -> WireLoan {
+        allocation::allocate(&self.0, request).await
     }
 
-    async fn lend_place(self, _: Context, asking: WirePlaceAsking) -> WirePlace {
-        places::lend(&self.0, asking).await
+    async fn lend_place(self, _: Context, request: WirePlaceAsking) -> WirePlace {
+        send_permits::grant(&self.0, request).await
     }
 
     async fn try_out(self, _: Context, trial: WireTrial) -> WireTrialAnswer {
@@ -79,18 +80,18 @@
     }
 }
 
-/// What has changed in the store since what a daemon has.
-fn relay(daemon: &Daemon, have: WireHave) -> WireRelay {
-    let now_ms = daemon.knowledge.now_ms();
+/// Returns the changes in the store since the position that a daemon has reported.
+fn relay(daemon: &Daemon, positions: WireHave) -> WireRelay {
+    let now_ms = daemon.shared_view.now_ms();
     let age_ms = daemon.freshness.age_ms(now_ms);
-    let departures = match have.departures {
+    let departures = match positions.departures {
         true => Vec::new(),
-        false => departures::for_new_asker(daemon),
+        false => departures::for_new_requester(daemon),
     };
-    daemon.knowledge.with(|local_view| WireRelay {
+    daemon.shared_view.with(|local_view| WireRelay {
         departures,
-        endpoints: WireNews::from(local_view.list_since(have.endpoints)),
-        config: local_view.config_texts.update_since(have.config).map(WireConfig::from),
+        endpoints: WireNews::from(local_view.list_since(positions.endpoints)),
+        config: local_view.config_texts.update_since(positions.config).map(WireConfig::from),
         age_ms,
         config_age_ms: local_view
             .catalog
--- a/crates/trestle-entry/src/store/config.rs
+++ b/crates/trestle-entry/src/store/config.rs
@@ -52,7 +52,7 @@
 
 /// Records that the store answered a read of the configuration.
 fn record_read(daemon: &Daemon) {
-    daemon.freshness.record_config_read(daemon.knowledge.now_ms());
+    daemon.freshness.record_config_read(daemon.shared_view.now_ms());
 }
 
 /// Applies a row of the configuration's table. Returns whether its content could be read; rows with
@@ -76,7 +76,7 @@
         },
         ConfigUpdate::Changes { from, pieces } => {
             let known =
-                daemon.knowledge.with(|local_view| local_view.config_texts.text(*from).cloned());
+                daemon.shared_view.with(|local_view| local_view.config_texts.text(*from).cloned());
             match known.and_then(|known| apply_delta(&known, &decompress_pieces(pieces)?)) {
                 Some(text) => apply_text(daemon, &text),
                 None => {
@@ -101,16 +101,16 @@
             return false;
         }
     };
-    let in_force = daemon.knowledge.catalog().map_or(0, |catalog| catalog.version);
+    let in_force = daemon.shared_view.catalog().map_or(0, |catalog| catalog.version);
     if catalog.version <= in_force {
         return true;
     }
     let (version, routes) = (catalog.version, catalog.routes.iter().count());
-    daemon.knowledge.change(|local_view| {
+    daemon.shared_view.change(|local_view| {
         local_view.catalog = Some(Arc::new(catalog));
         local_view.config_texts.add(version, text.to_vec());
     });
-    daemon.metrics.config_version(version);
+    daemon.metrics.record_config_version(version);
     let bytes = text.len();
     tracing::info!(version, routes, bytes, from = in_force, "config: A configuration is in force.");
     true
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -1,7 +1,7 @@
 //! Follows the list of live endpoints in the store.
 
 use crate::{
-    broken,
+    connection_loss,
     daemon::Daemon,
     departures,
     store::follow::{self, FollowedTable},
@@ -38,7 +38,7 @@
             false => OUTAGE_PAUSE_MS,
         },
         after: |last: Option<u64>| {
-            let version = daemon.knowledge.with(|local_view| local_view.listing.version());
+            let version = daemon.shared_view.with(|local_view| local_view.listing.version());
             last.filter(|_| !daemon.freshness.must_reread()).map(|_| version)
         },
         on_read: |page: RowPage, _| {
@@ -52,8 +52,8 @@
             apply_read(&daemon, parse_changes(&daemon, changes, version));
         },
         on_failure: || {
-            let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|local_view| local_view.directory.record_read(false, now_ms));
+            let now_ms = daemon.shared_view.now_ms();
+            daemon.shared_view.with(|local_view| local_view.directory.record_read(false, now_ms));
         },
     };
     follow::run(&daemon, followed).await;
@@ -61,14 +61,15 @@
 
 /// Returns a leader's pause after each answer, by the number of listed endpoints.
 fn leader_pause_ms(daemon: &Daemon) -> u64 {
-    let endpoints = daemon.knowledge.with(|local_view| local_view.directory.iter().count()) as u64;
+    let endpoints =
+        daemon.shared_view.with(|local_view| local_view.directory.iter().count()) as u64;
     (LEADER_PAUSE_MS * endpoints / 100).clamp(LEADER_PAUSE_MS, MAX_LEADER_PAUSE_MS)
 }
 
 /// Applies what this daemon has read about endpoints from the store. Returns whether it is a whole
 /// list that is not older than the one known here.
 fn apply_read(daemon: &Daemon, update: ListUpdate) -> bool {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     daemon.freshness.record_endpoints_read(now_ms);
     apply_update(
         daemon,
@@ -81,7 +82,7 @@
 /// Applies an update of the list that a leader passed on, which leaves out the models that engines
 /// hold. The update was current `age_ms` ago.
 pub(crate) fn apply_relayed(daemon: &Daemon, update: ListUpdate, age_ms: u64) {
-    let known_ms = daemon.knowledge.now_ms().saturating_sub(age_ms);
+    let known_ms = daemon.shared_view.now_ms().saturating_sub(age_ms);
     apply_update(
         daemon,
         update,
@@ -93,9 +94,9 @@
 /// Applies an update of the list, records its source, and detects endpoints that crashed or were
 /// replaced. Returns whether it is a whole list.
 fn apply_update(daemon: &Daemon, update: ListUpdate, source: Source, origin: ListOrigin) -> bool {
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let mut added = Vec::new();
-    let (is_whole, has_changes) = daemon.knowledge.with(|local_view| {
+    let (is_whole, has_changes) = daemon.shared_view.with(|local_view| {
         local_view.directory.record_read(true, now_ms);
         local_view.list_origin = origin;
         let newer = local_view.listing.apply(update, source);
@@ -105,9 +106,9 @@
         (is_whole, has_changes)
     });
     if has_changes {
-        added.iter().for_each(|endpoint| broken::note_came(daemon, endpoint));
-        broken::note_gone(daemon);
-        daemon.knowledge.change(|local_view| local_view.forget_unlisted());
+        added.iter().for_each(|endpoint| connection_loss::handle_new_endpoint(daemon, endpoint));
+        connection_loss::handle_removed(daemon);
+        daemon.shared_view.change(|local_view| local_view.forget_unlisted());
     }
     is_whole
 }
@@ -212,7 +213,7 @@
     match (daemon.wire.store.read_endpoint)(&row.key.key, &row.value) {
         Ok(endpoint) => Some(endpoint),
         Err(error) => {
-            daemon.metrics.unread_entry();
+            daemon.metrics.record_unreadable_entry();
             let (key, version) = (&row.key.key, row.version);
             tracing::error!(%error, key, version, "endpoint: An entry is not understood.");
             None
--- a/crates/trestle-entry/src/store/follow.rs
+++ b/crates/trestle-entry/src/store/follow.rs
@@ -42,7 +42,7 @@
     let mut is_relayed = false;
     loop {
         let leadership_began = daemon.freshness.leadership_began();
-        let relay_valid_ms = daemon.freshness.relay_valid_for_ms(daemon.knowledge.now_ms());
+        let relay_valid_ms = daemon.freshness.relay_valid_for_ms(daemon.shared_view.now_ms());
         if is_relayed != (relay_valid_ms > 0) {
             is_relayed = relay_valid_ms > 0;
             let table = followed.table;
@@ -103,7 +103,7 @@
     R: Fn(RowPage, u64),
     C: Fn(Vec<RowChange>, u64, u64),
 {
-    let sent_ms = daemon.knowledge.now_ms();
+    let sent_ms = daemon.shared_view.now_ms();
     let Some(after) = after else {
         let page = follower.read().await?;
         let version = page.version;
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -1,9 +1,9 @@
 //! Sends a request to one endpoint once, and reads the answer.
 
 use crate::{
-    broken,
+    connection_loss,
     net::pool::{Connection, SendError},
-    notices,
+    signals,
     traffic::{
         outcome::{AttemptError, CompleteAnswer},
         select::SelectedEndpoint,
@@ -51,7 +51,7 @@
     let result = wait_limit.wait(exchange(task, &mut selected, last_event_id)).await;
     let answered =
         result.unwrap_or_else(|| Err(AttemptError::TimedOut(task.elapsed_ms() - sent_after_ms)));
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let may_have_run =
         answered.as_ref().map_or_else(|error| error.send_end().may_have_run(), |_| true);
     task.quota_reservation.record_end(may_have_run);
@@ -69,7 +69,7 @@
                 }
             }
             let name = &selected.endpoint.name;
-            task.daemon.knowledge.with(|local_view| match &error {
+            task.daemon.shared_view.with(|local_view| match &error {
                 AttemptError::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
                     Some(model) => {
                         let loadable = Loadable::new(model, task.head.adapter.as_ref());
@@ -111,18 +111,22 @@
         let connection = pool.connection(&selected.endpoint).await;
         let mut connection = connection.map_err(|error| {
             if error.kind() == ErrorKind::ConnectionRefused {
-                broken::ended(daemon, &selected.endpoint.incarnation(), Evidence::Refused);
+                connection_loss::record_terminated(
+                    daemon,
+                    &selected.endpoint.incarnation(),
+                    Evidence::Refused,
+                );
             }
             AttemptError::Unreachable(error.to_string())
         })?;
         if !task.may_send(&selected.endpoint) {
             return Err(AttemptError::NotSent);
         }
-        let sent_ms = daemon.knowledge.now_ms();
+        let sent_ms = daemon.shared_view.now_ms();
         selected.record_sent();
         match connection.send(task.to_http_request(&selected.endpoint, last_event_id)).await {
             Ok(response) => {
-                notices::hear(daemon, &selected.endpoint, &response, &task.head.id, sent_ms);
+                signals::process(daemon, &selected.endpoint, &response, &task.head.id, sent_ms);
                 if response.status() == StatusCode::MISDIRECTED_REQUEST {
                     // The request did not run here, so it cannot crash this endpoint.
                     selected.resolve();
@@ -153,9 +157,9 @@
         // The endpoint may have been replaced or may only lack the model, so this shows neither.
         (StatusCode::MISDIRECTED_REQUEST, Some(_)) => {}
         (StatusCode::MISDIRECTED_REQUEST, None) => {
-            broken::ended(&task.daemon, &incarnation, Evidence::Replaced);
+            connection_loss::record_terminated(&task.daemon, &incarnation, Evidence::Replaced);
         }
-        _ => task.daemon.knowledge.with(|local_view| {
+        _ => task.daemon.shared_view.with(|local_view| {
             local_view.unresolved_requests.answered(&incarnation, sent_ms, opened_ms);
         }),
     }
@@ -212,13 +216,13 @@
             Timer::after(Duration::from_millis(timeout_ms)).await;
             Err(AttemptError::TimedOut(timeout_ms))
         };
-        let knowledge = &task.daemon.knowledge;
+        let shared_view = &task.daemon.shared_view;
         let name = &selected.endpoint.name;
         match read.or(timed_out).await {
             Ok(content) => {
                 let is_healthy = !parts.status.is_server_error();
-                let now_ms = knowledge.now_ms();
-                knowledge.with(|local_view| match is_healthy {
+                let now_ms = shared_view.now_ms();
+                shared_view.with(|local_view| match is_healthy {
                     true => local_view.records.succeeded(name, now_ms),
                     false => local_view.records.failed(name, now_ms),
                 });
@@ -236,8 +240,8 @@
             }
             Err(error) => {
                 task.trial.unanswered();
-                let now_ms = knowledge.now_ms();
-                knowledge.with(|local_view| local_view.records.failed(name, now_ms));
+                let now_ms = shared_view.now_ms();
+                shared_view.with(|local_view| local_view.records.failed(name, now_ms));
                 if matches!(error, AttemptError::ConnectionLost(_)) {
                     selected.record_connection_lost();
                 }
--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -73,14 +73,14 @@
     daemon: &Arc<Daemon>,
     request: Request<Incoming>,
 ) -> Result<Arc<Task>, (Failure, Option<String>)> {
-    let arrived_ms = daemon.knowledge.now_ms();
+    let arrived_ms = daemon.shared_view.now_ms();
     let (parts, body) = request.into_parts();
     let Some(head) = (daemon.wire.head.read_request)(&parts.headers) else {
         return Err((Failure::BadRequest, None));
     };
     let id = head.id.clone();
     let reject = |failure| (failure, Some(id.clone()));
-    let Some(catalog) = daemon.knowledge.catalog() else {
+    let Some(catalog) = daemon.shared_view.catalog() else {
         return Err(reject(Failure::NotRun {
             retry_after_ms: NO_CONFIG_RETRY_MS,
             why: "no_configuration",
@@ -123,7 +123,7 @@
     }
     let service = route.target(&head.id).ok_or(Failure::NoRoute)?.clone();
     let allowed_ms = route.timeout_ms.min(head.deadline_ms.unwrap_or(u64::MAX));
-    if !daemon.stopping.can_take(arrived_ms, allowed_ms) {
+    if !daemon.stopping.can_accept(arrived_ms, allowed_ms) {
         return Err(Failure::NotRun { retry_after_ms: STOPPING_RETRY_MS, why: "stopping" });
     }
     let uri = parts.uri.path_and_query().map(|path| path.as_str().parse());
@@ -237,7 +237,7 @@
 
 /// Counts the request for its service and its model.
 fn record_arrival(task: &Task) {
-    task.daemon.knowledge.with(|local_view| {
+    task.daemon.shared_view.with(|local_view| {
         local_view.request_arrived(&task.service, task.arrived_ms);
         if let Some(model) = &task.head.model {
             local_view.model_request_arrived(&task.service, model, task.arrived_ms);
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -41,11 +41,11 @@
         }
         match send(task, selected, &mut sends).await {
             Ok(answer) if answer.response.status().is_server_error() && is_idempotent => {
-                sends.record_end(SendEnd::Failed, task.daemon.knowledge.now_ms());
+                sends.record_end(SendEnd::Failed, task.daemon.shared_view.now_ms());
                 failed_answer = Some(answer);
             }
             Ok(answer) => break Ok(answer),
-            Err(error) => sends.record_end(error.send_end(), task.daemon.knowledge.now_ms()),
+            Err(error) => sends.record_end(error.send_end(), task.daemon.shared_view.now_ms()),
         }
         if task.is_expired() || (sends.may_have_run && !is_idempotent) {
             break Err(Failure::MayHaveRun);
@@ -71,7 +71,7 @@
     selected: SelectedEndpoint,
     sends: &mut Sends,
 ) -> Result<CompleteAnswer, AttemptError> {
-    task.daemon.metrics.send(sends.count == 0);
+    task.daemon.metrics.record_send(sends.count == 0);
     sends.record_send(&selected.endpoint.name);
     // While another send is possible, one that misses the route's objective is given up for it.
     let wait_limit = WaitLimit { task, sends, limit_ms: wait_limit::answer_ms(&task.route) };
--- a/crates/trestle-entry/src/traffic/quota_reservation.rs
+++ b/crates/trestle-entry/src/traffic/quota_reservation.rs
@@ -1,7 +1,7 @@
 //! Reserves units of the team's limit for one request.
 
 use crate::{
-    lending::{self, NotLent},
+    allocation::{self, AllocationError},
     traffic::{answer::Failure, task::Task},
 };
 use smol::Timer;
@@ -105,7 +105,7 @@
 pub(crate) fn check(task: &Task) -> Result<(), Failure> {
     let Some(cost) = cost(task) else { return Ok(()) };
     let daemon = &task.daemon;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     if task.quota_reservation.allows_send(task, now_ms) {
         return Ok(());
     }
@@ -128,9 +128,9 @@
     let Some(Cost { team, limit, units }) = cost(task) else { return Ok(()) };
     let mut wait_left_ms = max_wait_ms(task);
     loop {
-        match lending::spend(&task.daemon, team, &limit, units).await {
+        match allocation::spend(&task.daemon, team, &limit, units).await {
             // The answer took longer than the units that it allocates are valid.
-            Ok(until_ms) if task.daemon.knowledge.now_ms() >= until_ms => {
+            Ok(until_ms) if task.daemon.shared_view.now_ms() >= until_ms => {
                 return Err(Failure::NotRun {
                     retry_after_ms: NO_ALLOCATOR_RETRY_MS,
                     why: "no_lender",
@@ -140,15 +140,17 @@
                 *task.quota_reservation.state() = ReservationState::Reserved { until_ms };
                 return Ok(());
             }
-            Err(NotLent::SpentOut { in_ms }) if in_ms <= wait_left_ms && !task.is_expired() => {
+            Err(AllocationError::LimitReached { in_ms })
+                if in_ms <= wait_left_ms && !task.is_expired() =>
+            {
                 let in_ms = in_ms.max(1);
                 wait_left_ms = wait_left_ms.saturating_sub(in_ms);
                 Timer::after(Duration::from_millis(in_ms)).await;
             }
-            Err(NotLent::SpentOut { in_ms }) => {
+            Err(AllocationError::LimitReached { in_ms }) => {
                 return Err(Failure::OverLimit { retry_after_ms: in_ms });
             }
-            Err(NotLent::NoLender) => {
+            Err(AllocationError::NoAllocator) => {
                 return Err(Failure::NotRun {
                     retry_after_ms: NO_ALLOCATOR_RETRY_MS,
                     why: "no_lender",
--- a/crates/trestle-entry/src/traffic/report.rs
+++ b/crates/trestle-entry/src/traffic/report.rs
@@ -91,5 +91,5 @@
         allowed_ms = task.allowed_ms,
         "request: Ended."
     );
-    task.daemon.metrics.whole(&task.route.name, end.name(), took_ms);
+    task.daemon.metrics.record_request(&task.route.name, end.name(), took_ms);
 }
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -1,9 +1,9 @@
 //! Selects an endpoint for a request, and waits while its model is being loaded.
 
 use crate::{
-    broken,
+    connection_loss,
     daemon::Daemon,
-    places,
+    send_permits,
     traffic::{
         answer::{Failure, RETRY_SOON_MS},
         quota_reservation,
@@ -42,7 +42,7 @@
         self.is_pending = true;
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.track_request(&self.endpoint, request));
     }
 
@@ -53,13 +53,13 @@
         let incarnation = self.endpoint.incarnation();
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.unresolved_requests.resolved(&incarnation, request));
     }
 
     /// Records that the connection to the endpoint was lost after the request was sent.
     pub(crate) fn record_connection_lost(&mut self) {
-        broken::note(&self.task.daemon, &self.endpoint, self.task.head.fingerprint);
+        connection_loss::record_lost(&self.task.daemon, &self.endpoint, self.task.head.fingerprint);
         self.resolve();
     }
 }
@@ -74,7 +74,7 @@
     let mut demand: Option<DemandGuard> = None;
     quota_reservation::check(task)?;
     loop {
-        let changed = task.daemon.knowledge.changed();
+        let changed = task.daemon.shared_view.changed();
         if !task.has_valid_key() {
             return Err(Failure::NoKey);
         }
@@ -103,7 +103,9 @@
                 continue;
             }
             Selection::RequestSendPermit(endpoint) => {
-                if let Some(until_ms) = places::ask(&task.daemon, &endpoint, &task.head.id).await {
+                if let Some(until_ms) =
+                    send_permits::request(&task.daemon, &endpoint, &task.head.id).await
+                {
                     task.held_permit.set(endpoint.incarnation(), until_ms);
                 }
                 continue;
@@ -119,7 +121,7 @@
             }
             Selection::Wait { until_ms } => until_ms,
         };
-        if !task.daemon.stopping.can_begin(task.daemon.knowledge.now_ms()) {
+        if !task.daemon.stopping.can_send(task.daemon.shared_view.now_ms()) {
             return Err(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why: "stopping" });
         }
         if demand.is_none() {
@@ -144,9 +146,9 @@
 /// Decides once, with what is known now, what happens to a request.
 fn decide(task: &Task, sends: &Sends, demand_id: Option<u64>) -> Selection {
     let lot = fastrand::u64(..);
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let send_permit = task.held_permit.incarnation(now_ms);
-    task.daemon.knowledge.with(|local_view| {
+    task.daemon.shared_view.with(|local_view| {
         let context =
             RequestContext { demand_id, send_permit: send_permit.as_ref(), ..task.context() };
         let selection = selection::select(local_view, context, sends, lot, now_ms);
@@ -167,36 +169,36 @@
 
 /// Returns whether an endpoint other than the last one could run the request now.
 pub(crate) fn has_alternative(task: &Task, sends: &Sends) -> bool {
-    let now_ms = task.daemon.knowledge.now_ms();
+    let now_ms = task.daemon.shared_view.now_ms();
     let has_alternative =
         |local_view: &mut _| selection::has_alternative(local_view, task.context(), sends, now_ms);
-    task.daemon.knowledge.with(has_alternative)
+    task.daemon.shared_view.with(has_alternative)
 }
 
 /// Reports the demand of a caller who was told to retry, so that the model is not evicted before.
 fn record_returning(task: &Task, retry_after_ms: u64) {
     let daemon = &task.daemon;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let demand_id = daemon.next_number();
-    daemon.knowledge.with(|local_view| {
+    daemon.shared_view.with(|local_view| {
         let policy = &local_view.policy;
         let demand = selection::returning_demand(policy, task.context(), retry_after_ms, now_ms);
         if let Some(demand) = demand {
             local_view.local_demand_for(&task.service).returning.insert(demand_id, demand);
         }
     });
-    daemon.knowledge.wish();
+    daemon.shared_view.notify_demand();
 }
 
 impl Drop for SelectedEndpoint {
     fn drop(&mut self) {
         if let Some(request) = self.task.head.fingerprint.filter(|_| self.is_pending) {
-            broken::note_left(&self.task.daemon, &self.endpoint, request);
+            connection_loss::record_abandoned(&self.task.daemon, &self.endpoint, request);
         }
         let (model, adapter) = (self.task.head.model.as_ref(), self.task.head.adapter.as_ref());
         self.task
             .daemon
-            .knowledge
+            .shared_view
             .with(|local_view| local_view.request_ended(&self.endpoint, model, adapter));
     }
 }
@@ -213,19 +215,19 @@
         let daemon = Arc::clone(&task.daemon);
         let demand_id = daemon.next_number();
         let due_ms = task.arrived_ms + task.route.objective_ms;
-        daemon.knowledge.with(|local_view| {
+        daemon.shared_view.with(|local_view| {
             if let Some(demand) = selection::pending_demand(task.context(), due_ms) {
                 local_view.local_demand_for(&task.service).waiting.insert(demand_id, demand);
             }
         });
-        daemon.knowledge.wish();
+        daemon.shared_view.notify_demand();
         Self { daemon, service: task.service.clone(), demand_id }
     }
 }
 
 impl Drop for DemandGuard {
     fn drop(&mut self) {
-        self.daemon.knowledge.with(|local_view| {
+        self.daemon.shared_view.with(|local_view| {
             local_view.local_demand_for(&self.service).waiting.remove(&self.demand_id);
         });
     }
--- a/crates/trestle-entry/src/traffic/stream.rs
+++ b/crates/trestle-entry/src/traffic/stream.rs
@@ -37,7 +37,7 @@
     let is_stream = matches!(start, Ok(StreamStart::Events(..)));
     let response = match start {
         Ok(StreamStart::Events(parts, first)) => {
-            task.daemon.metrics.first(&task.route.name, task.elapsed_ms());
+            task.daemon.metrics.record_first_part(&task.route.name, task.elapsed_ms());
             let stats = StreamStats { first_ms: Some(task.elapsed_ms()), ..StreamStats::default() };
             let last_event_ms = task.elapsed_ms();
             let forwarded = ForwardedStream {
@@ -183,14 +183,14 @@
             let why = "retries_spent";
             return Err(Some(Failure::NotRun { retry_after_ms: RETRY_SOON_MS, why }));
         }
-        self.task.daemon.metrics.send(self.sends.count == 0);
+        self.task.daemon.metrics.record_send(self.sends.count == 0);
         self.sends.record_send(&selected.endpoint.name);
         let last_event_id = self.buffer.last_id();
         let wait_limit = self.wait_limit(wait_limit::first_event_ms(&self.task.route));
         match attempt::send(&self.task, selected, last_event_id, wait_limit).await {
             Ok(attempt) => Ok(attempt),
             Err(error) => {
-                self.sends.record_end(error.send_end(), self.task.daemon.knowledge.now_ms());
+                self.sends.record_end(error.send_end(), self.task.daemon.shared_view.now_ms());
                 let is_final = error.send_end().may_have_run() && !self.is_resumable();
                 Err(is_final.then_some(Failure::MayHaveRun))
             }
@@ -249,8 +249,8 @@
         if let Some(mut source) = self.source.take() {
             let daemon = &self.task.daemon;
             let name = &source.selected.endpoint.name;
-            let now_ms = daemon.knowledge.now_ms();
-            daemon.knowledge.with(|local_view| local_view.records.succeeded(name, now_ms));
+            let now_ms = daemon.shared_view.now_ms();
+            daemon.shared_view.with(|local_view| local_view.records.succeeded(name, now_ms));
             if source.has_explicit_end {
                 self.task.trial.settled();
                 source.selected.resolve();
@@ -263,7 +263,7 @@
 
     /// Records that the last send ran and failed.
     fn record_failed(&mut self) {
-        self.sends.record_end(SendEnd::Failed, self.task.daemon.knowledge.now_ms());
+        self.sends.record_end(SendEnd::Failed, self.task.daemon.shared_view.now_ms());
     }
 
     /// Records that the stream failed at its endpoint, and drops the connection.
@@ -274,8 +274,8 @@
         let Some(mut source) = self.source.take() else { return };
         let name = &source.selected.endpoint.name;
         let daemon = &self.task.daemon;
-        let now_ms = daemon.knowledge.now_ms();
-        daemon.knowledge.with(|local_view| local_view.records.failed(name, now_ms));
+        let now_ms = daemon.shared_view.now_ms();
+        daemon.shared_view.with(|local_view| local_view.records.failed(name, now_ms));
         tracing::info!(
             id = self.task.head.id, request = self.task.fingerprint(), endpoint = %name,
             reason = error.reason(), last_id = self.buffer.last_id(), elapsed_ms = self.task.elapsed_ms(), "request: A stream failed at its endpoint."
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -98,17 +98,17 @@
             allowed_ms: self.allowed_ms,
             elapsed_ms: self.elapsed_ms(),
             demand_id: None,
-            is_trial: self.trial.is_begun(),
-            has_quota: self.quota_reservation.allows_send(self, self.daemon.knowledge.now_ms()),
+            is_trial: self.trial.is_permitted(),
+            has_quota: self.quota_reservation.allows_send(self, self.daemon.shared_view.now_ms()),
             send_permit: None,
         }
     }
 
     /// Reserves one more send from the retry budget. Returns whether the request may be sent.
     pub(crate) fn reserve_next_send(&self, sends: &mut Sends) -> bool {
-        let knowledge = &self.daemon.knowledge;
-        let now_ms = knowledge.now_ms();
-        knowledge
+        let shared_view = &self.daemon.shared_view;
+        let now_ms = shared_view.now_ms();
+        shared_view
             .with(|local_view| sends.reserve_next(&self.route, &self.service, local_view, now_ms))
     }
 
@@ -120,9 +120,9 @@
     /// Returns whether the request may be sent to an endpoint now. The endpoint may have begun to
     /// drain, or reported a limit, while the connection was opened.
     pub(crate) fn may_send(&self, endpoint: &Endpoint) -> bool {
-        let now_ms = self.daemon.knowledge.now_ms();
+        let now_ms = self.daemon.shared_view.now_ms();
         let incarnation = endpoint.incarnation();
-        let (is_usable, is_limited) = self.daemon.knowledge.with(|local_view| {
+        let (is_usable, is_limited) = self.daemon.shared_view.with(|local_view| {
             let is_limited = local_view.backpressure.limit(&incarnation).is_some();
             let backs_off = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
             (local_view.directory.is_usable(&incarnation) && !backs_off, is_limited)
@@ -171,7 +171,7 @@
 
     /// Returns whether the caller's key is still valid under the current configuration.
     pub(crate) fn has_valid_key(&self) -> bool {
-        let Some(catalog) = self.daemon.knowledge.catalog() else { return true };
+        let Some(catalog) = self.daemon.shared_view.catalog() else { return true };
         catalog.version == self.config_version || self.identity.is_still_valid(&catalog)
     }
 
@@ -179,7 +179,7 @@
     /// suspicion that it crashes endpoints.
     pub(crate) fn record_served(&self, endpoint: &Endpoint) {
         let clear_suspicion = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
-        if let Some(ends) = self.daemon.knowledge.with(clear_suspicion) {
+        if let Some(ends) = self.daemon.shared_view.with(clear_suspicion) {
             tracing::warn!(
                 id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
                 "request: Got a complete answer; it is no longer suspected of crashing endpoints."
@@ -213,7 +213,7 @@
 
     /// Returns the time since the arrival.
     pub(crate) fn elapsed_ms(&self) -> u64 {
-        self.daemon.knowledge.now_ms().saturating_sub(self.arrived_ms)
+        self.daemon.shared_view.now_ms().saturating_sub(self.arrived_ms)
     }
 
     /// Returns the time left until the complete answer is due.
