--- /dev/null
+++ b/crates/trestle-entry/src/connection_loss.rs
@@ -0,0 +1,211 @@
+//! Checks of endpoints after connections to them were lost.
+//!
+//! After a connection is lost, this module checks at once whether a process listens at the
+//! endpoint's address. After that it asks repeatedly which endpoint listens there, until an answer
+//! shows that the endpoint has survived. So a real crash is detected however many connections were
+//! lost before it, and an endpoint that survives is not counted as crashed.
+
+use crate::{
+    crashes,
+    daemon::Daemon,
+    net::{
+        connect,
+        exchange::{Answer, CallClient, Error},
+        pool::CONNECT_TIMEOUT_MS,
+    },
+};
+use http::StatusCode;
+use smol::Timer;
+use std::{collections::BTreeSet, io::ErrorKind, sync::Arc, time::Duration};
+use trestle_dispatch::{
+    endpoint::{Endpoint, Incarnation},
+    fingerprint::Fingerprint,
+    unresolved_requests::{ConnectionLoss, Evidence, MAX_CRASH_DELAY_MS},
+};
+
+/// Most requests listed in one log line.
+const MAX_LOGGED: usize = 8;
+/// Time limit for an endpoint's answer about its identity.
+const ANSWER_MS: u64 = 400;
+/// Longest pause between two checks of an endpoint that cannot be reached.
+const MAX_PAUSE_MS: u64 = 2_000;
+
+/// The result of a check.
+enum CheckResult {
+    /// The endpoint is alive.
+    Alive,
+    /// The endpoint has terminated.
+    Terminated(Evidence),
+    /// The check was inconclusive.
+    Inconclusive,
+}
+
+/// Records that a request's connection was lost. The first loss at an endpoint starts a task that
+/// finds out whether the endpoint has terminated; later ones start no further task.
+pub(crate) fn record_lost(daemon: &Arc<Daemon>, endpoint: &Endpoint, request: Option<Fingerprint>) {
+    let Some(request) = request else { return };
+    let now_ms = daemon.shared_view.now_ms();
+    let loss =
+        daemon.shared_view.with(|local_view| local_view.connection_lost(endpoint, request, now_ms));
+    match loss {
+        Some(ConnectionLoss::CheckNeeded) => {
+            smol::spawn(check_until_known(Arc::clone(daemon), endpoint.clone())).detach();
+        }
+        Some(ConnectionLoss::Terminated) => record_late(daemon, &endpoint.incarnation(), request),
+        Some(ConnectionLoss::CheckRunning) | None => {}
+    }
+}
+
+/// Records that the caller no longer waits for a request that still runs at an endpoint.
+pub(crate) fn record_abandoned(daemon: &Daemon, endpoint: &Endpoint, request: Fingerprint) {
+    let now_ms = daemon.shared_view.now_ms();
+    let is_terminated = daemon
+        .shared_view
+        .with(|local_view| local_view.request_abandoned(endpoint, request, now_ms));
+    if is_terminated {
+        record_late(daemon, &endpoint.incarnation(), request);
+    }
+}
+
+/// Handles endpoints that the list shows to have terminated.
+pub(crate) fn handle_removed(daemon: &Daemon) {
+    let removed = daemon.shared_view.with(|local_view| local_view.terminated_by_list());
+    for (incarnation, evidence) in &removed {
+        record_terminated(daemon, incarnation, *evidence);
+    }
+}
+
+/// Handles an endpoint that is new at an address where others may have been.
+pub(crate) fn handle_new_endpoint(daemon: &Daemon, endpoint: &Endpoint) {
+    let replaced = daemon.shared_view.with(|local_view| local_view.replaced_by(endpoint));
+    for incarnation in &replaced {
+        record_terminated(daemon, incarnation, Evidence::Replaced);
+    }
+}
+
+/// Records that an incarnation of an endpoint has terminated, and attributes a crash to the
+/// requests that were open there.
+pub(crate) fn record_terminated(daemon: &Daemon, incarnation: &Incarnation, evidence: Evidence) {
+    let now_ms = daemon.shared_view.now_ms();
+    let requests = daemon
+        .shared_view
+        .with(|local_view| local_view.incarnation_terminated(incarnation, evidence, now_ms));
+    record_crashes(daemon, incarnation, evidence.name(), &requests);
+}
+
+/// Checks an endpoint until its state is known or nothing depends on it.
+async fn check_until_known(daemon: Arc<Daemon>, endpoint: Endpoint) {
+    let incarnation = endpoint.incarnation();
+    let mut pause_ms = MAX_CRASH_DELAY_MS;
+    let mut result = check_port(&endpoint).await;
+    loop {
+        if let CheckResult::Terminated(evidence) = result {
+            record_terminated(&daemon, &incarnation, evidence);
+        }
+        Timer::after(Duration::from_millis(pause_ms)).await;
+        let now_ms = daemon.shared_view.now_ms();
+        if !daemon
+            .shared_view
+            .with(|local_view| local_view.unresolved_requests.needs_check(&incarnation, now_ms))
+        {
+            return;
+        }
+        result = check_identity(&daemon, &endpoint).await;
+        match result {
+            CheckResult::Alive => {
+                daemon.shared_view.with(|local_view| {
+                    local_view.unresolved_requests.confirmed_alive(&incarnation, now_ms)
+                });
+                tracing::info!(endpoint = %incarnation.name, born_ms = incarnation.started_unix_ms, "endpoint: The endpoint is alive; no request crashed it.");
+                pause_ms = MAX_CRASH_DELAY_MS;
+            }
+            CheckResult::Inconclusive => pause_ms = (2 * pause_ms).min(MAX_PAUSE_MS),
+            CheckResult::Terminated(_) => {}
+        }
+    }
+}
+
+/// Checks whether a process listens at an endpoint's address.
+async fn check_port(endpoint: &Endpoint) -> CheckResult {
+    match connect::open(endpoint.address, CONNECT_TIMEOUT_MS).await {
+        Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+            CheckResult::Terminated(Evidence::Refused)
+        }
+        // A process listens there, or the address cannot be reached.
+        Ok(_) | Err(_) => CheckResult::Inconclusive,
+    }
+}
+
+/// Checks which endpoint listens at an endpoint's address.
+async fn check_identity(daemon: &Daemon, endpoint: &Endpoint) -> CheckResult {
+    let Some(catalog) = daemon.shared_view.catalog() else { return check_port(endpoint).await };
+    let Some(service) = catalog.services.get(&endpoint.service) else {
+        return check_port(endpoint).await;
+    };
+    let wire = &daemon.wire.endpoint;
+    let client = CallClient::new(endpoint.address);
+    // Only an engine's report distinguishes several incarnations with the same name.
+    if endpoint.has_start_time() {
+        if service.engine.is_none() {
+            return check_port(endpoint).await;
+        }
+        return evaluate(client.exchange((wire.report_call)(), ANSWER_MS).await, |answer| {
+            let report = (wire.report_answer)(answer.status, &answer.body).ok()?;
+            let is_known = report.started_unix_ms != 0;
+            is_known.then_some((report.is_from(endpoint), Evidence::StartedAgain))
+        });
+    }
+    let Some(path) = &service.health_path else { return check_port(endpoint).await };
+    let Some(call) = (wire.identity_call)(&endpoint.name, path) else {
+        return check_port(endpoint).await;
+    };
+    evaluate(client.exchange(call, ANSWER_MS).await, |answer| {
+        let is_another = answer.status == StatusCode::MISDIRECTED_REQUEST.as_u16();
+        let named = (wire.identity_answer)(&answer.headers);
+        match (is_another, named) {
+            (true, _) => Some((false, Evidence::Replaced)),
+            (false, named) => Some((named? == endpoint.name, Evidence::Replaced)),
+        }
+    })
+}
+
+/// Evaluates an answer. `read` returns whether it comes from the endpoint itself, and the evidence
+/// if it does not.
+fn evaluate(
+    answer: Result<Answer, Error>,
+    read: impl FnOnce(Answer) -> Option<(bool, Evidence)>,
+) -> CheckResult {
+    match answer {
+        Ok(answer) => match read(answer) {
+            Some((true, _)) => CheckResult::Alive,
+            Some((false, evidence)) => CheckResult::Terminated(evidence),
+            None => CheckResult::Inconclusive,
+        },
+        Err(error) if error.is_refused() => CheckResult::Terminated(Evidence::Refused),
+        Err(_) => CheckResult::Inconclusive,
+    }
+}
+
+/// Handles a request that was still open at an endpoint when the endpoint was found to have
+/// terminated.
+fn record_late(daemon: &Daemon, incarnation: &Incarnation, request: Fingerprint) {
+    record_crashes(daemon, incarnation, "known_before", &BTreeSet::from([request]));
+}
+
+fn record_crashes(
+    daemon: &Daemon,
+    incarnation: &Incarnation,
+    known_by: &str,
+    requests: &BTreeSet<Fingerprint>,
+) {
+    let count = requests.len();
+    if count == 0 {
+        return;
+    }
+    let named: Vec<String> = requests.iter().take(MAX_LOGGED).map(ToString::to_string).collect();
+    let (endpoint, born_ms) = (&incarnation.name, incarnation.started_unix_ms);
+    tracing::warn!(
+        %endpoint, born_ms, known_by, count, requests = ?named, "endpoint: It ended under requests."
+    );
+    crashes::record_crash(daemon, incarnation, requests);
+}
--- a/crates/trestle-entry/src/logs.rs
+++ b/crates/trestle-entry/src/logs.rs
@@ -1,8 +1,8 @@
-//! Logs: lines on standard output, bounded, never blocking.
+//! Log output: lines on standard output, limited in number and never blocking.
 //!
-//! Lines go through a bounded queue to a thread that writes them. Where the
-//! reader of standard output is slow, or more lines come than the settings allow
-//! in a second, lines are dropped and counted.
+//! Lines pass through a bounded queue to a thread that writes them. If the reader of standard
+//! output is slow, or more lines are logged than the settings allow per second, lines are dropped
+//! and counted.
 
 use governor::{DefaultDirectRateLimiter, Quota, RateLimiter};
 use snafu::{ResultExt, Snafu};
@@ -24,14 +24,13 @@
 };
 use trestle_config::settings::{LogFormat, LogSettings};
 
-/// Lines that may wait to be written; some seconds of a busy daemon, and below
-/// 2 MB of memory.
+/// Most lines that wait to be written: several seconds of a busy daemon, and below 2 MB of memory.
 const QUEUED_LINES: usize = 4_096;
-/// Lines that may come at once, as a multiple of those a second: all that a daemon says when
-/// it starts, or when many endpoints change together.
+/// Most lines at once, as a multiple of the lines per second. It covers all lines of a daemon that
+/// starts, or of many endpoints that change together.
 const BURST_S: u32 = 2;
 
-/// The filter of the settings is not understood.
+/// The log filter of the settings cannot be parsed.
 #[derive(Debug, Snafu)]
 #[snafu(display("log filter `{filter}` is not understood: {source}"))]
 pub struct FilterError {
@@ -39,20 +38,20 @@
     source: ParseError,
 }
 
-/// What keeps logs going: lines are written as long as it lives.
+/// The log output; lines are written as long as this value exists.
 #[derive(Debug)]
 pub struct Logs {
     _worker: WorkerGuard,
-    unread: ErrorCounter,
-    beyond: Arc<AtomicUsize>,
+    queue_drops: ErrorCounter,
+    over_limit: Arc<AtomicUsize>,
 }
 
 impl Logs {
-    /// Begins to write logs.
+    /// Starts the log output.
     ///
     /// # Errors
     ///
-    /// Fails if the filter is not understood.
+    /// Fails if the filter cannot be parsed.
     pub fn start(settings: &LogSettings) -> Result<Self, FilterError> {
         let filter = &settings.filter;
         let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
@@ -60,44 +59,44 @@
             .lossy(true)
             .buffered_lines_limit(QUEUED_LINES)
             .finish(std::io::stdout());
-        let unread = writer.error_counter();
-        let volume = Volume::new(settings.lines_per_s);
-        let beyond = Arc::clone(&volume.beyond);
+        let queue_drops = writer.error_counter();
+        let rate = RateFilter::new(settings.lines_per_s);
+        let over_limit = Arc::clone(&rate.over_limit);
         let lines = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
         let registry = tracing_subscriber::registry().with(filter);
         match settings.format {
-            LogFormat::Text => registry.with(lines.with_filter(volume)).init(),
+            LogFormat::Text => registry.with(lines.with_filter(rate)).init(),
             LogFormat::Json => {
                 let json = lines.json().flatten_event(true);
                 let json = json.with_current_span(false).with_span_list(false);
-                registry.with(json.with_filter(volume)).init();
+                registry.with(json.with_filter(rate)).init();
             }
         }
-        Ok(Self { _worker: worker, unread, beyond })
+        Ok(Self { _worker: worker, queue_drops, over_limit })
     }
 
-    /// Lines that were dropped since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> usize {
-        self.unread.dropped_lines() + self.beyond.load(Ordering::Relaxed)
+        self.queue_drops.dropped_lines() + self.over_limit.load(Ordering::Relaxed)
     }
 }
 
-/// Bounds how many lines are written in a second.
-struct Volume {
+/// A filter that limits how many lines are written per second.
+struct RateFilter {
     limiter: DefaultDirectRateLimiter,
-    /// Lines that were beyond the bound.
-    beyond: Arc<AtomicUsize>,
+    /// Number of lines dropped because of the limit.
+    over_limit: Arc<AtomicUsize>,
 }
 
-impl Volume {
+impl RateFilter {
     fn new(lines_per_s: NonZeroU32) -> Self {
         let burst = lines_per_s.saturating_mul(NonZeroU32::new(BURST_S).unwrap_or(lines_per_s));
         let quota = Quota::per_second(lines_per_s).allow_burst(burst);
-        Self { limiter: RateLimiter::direct(quota), beyond: Arc::default() }
+        Self { limiter: RateLimiter::direct(quota), over_limit: Arc::default() }
     }
 }
 
-impl<S: Subscriber> Filter<S> for Volume {
+impl<S: Subscriber> Filter<S> for RateFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -105,7 +104,7 @@
     fn event_enabled(&self, _: &Event<'_>, _: &Context<'_, S>) -> bool {
         let is_within = self.limiter.check().is_ok();
         if !is_within {
-            self.beyond.fetch_add(1, Ordering::Relaxed);
+            self.over_limit.fetch_add(1, Ordering::Relaxed);
         }
         is_within
     }
