--- a/crates/trestle-dispatch/src/backpressure.rs
+++ b/crates/trestle-dispatch/src/backpressure.rs
@@ -1,8 +1,9 @@
-//! What endpoints have asked of this daemon in their answers, by their lives.
+//! Limits and backoffs that endpoints announced to this daemon in their answers, by incarnation.
 //!
-//! The load that this answers: an endpoint in need, with callers who go on asking for what it
-//! has. What it says in an answer counts at once for the daemon that has the answer, whatever the
-//! list of endpoints, a leader or another daemon says or leaves out, until this life of it ends.
+//! The load that this answers: an overloaded endpoint whose callers keep sending requests. A
+//! signal in an answer takes effect at once at the daemon that received it, whatever the endpoint
+//! list, a leader or another daemon reports or omits, until this incarnation of the endpoint
+//! ends.
 
 use crate::{
     endpoint::Incarnation,
@@ -11,289 +12,300 @@
 };
 use std::collections::BTreeMap;
 
-/// Lives of which more is kept than that; those of which least was heard lately go first.
-const MOST_LIVES: usize = 4_096;
-/// Time for which what a life has said is kept after it is no longer listed: its entry may only
-/// have lapsed.
-const KEPT_MS: u64 = 600_000;
-/// Time after which one request of this daemon tries an endpoint with a limit although others
-/// could take it, while few daemons do: without any, nobody would hear that the limit is lifted.
-const TRIED_MS: u64 = 1_000;
-/// Daemons that try it so often; more of them do more seldom, so that all together ask for as
-/// many places.
+/// Number of incarnations that are kept at most; those with the oldest answers are dropped first.
+const MAX_INCARNATIONS: usize = 4_096;
+/// Time for which the signals of an incarnation are kept while it is not listed: its entry may
+/// only have lapsed.
+const UNLISTED_KEPT_MS: u64 = 600_000;
+/// Interval after which one request of this daemon tries a limited endpoint although others could
+/// take it, while few daemons do so: without any request nobody would observe that the limit is
+/// lifted.
+const TRIAL_INTERVAL_MS: u64 = 1_000;
+/// Number of daemons up to which each tries at this interval. More daemons try less often, so
+/// that together they request as many permits.
 const FEW_DAEMONS: u64 = 16;
-/// Longest time after a rest for which an endpoint gets few requests at once, more with each that
-/// it has served: callers who were turned away come back together.
-const RETURNING_MS: u64 = 3_000;
-/// Requests at once that each served one allows.
-const RETURNING_STEP: u32 = 2;
-/// Requests served after a rest from which on it is over.
-const RETURNED_SERVED: u32 = 4;
-/// When callers should come back who find an endpoint at work on the first requests after a rest.
-const RETURNING_RETRY_MS: u64 = 200;
-/// Longest time for which a refused daemon does not ask for a place again: the limit may be
-/// raised or lifted meanwhile.
-const MOST_CLOSED_MS: u64 = 5_000;
-/// Time after which a daemon asks again that could not ask anybody.
-const ASKED_IN_VAIN_MS: u64 = 500;
-/// What callers are told then: a lease whose holder was lost is free after about that time.
-const NO_LENDER_MS: u64 = 2_000;
+/// Longest time after a backoff for which an endpoint receives few concurrent requests, and more
+/// with each answered one: rejected callers all retry together.
+const RAMP_UP_MS: u64 = 3_000;
+/// Number of concurrent requests that each answered request adds.
+const RAMP_UP_STEP: u32 = 2;
+/// Number of requests answered after a backoff from which on it is over.
+const RAMP_UP_SERVED: u32 = 4;
+/// Delay after which callers should retry if the endpoint is still running the first requests
+/// after a backoff.
+const RAMP_UP_RETRY_MS: u64 = 200;
+/// Longest time for which a daemon does not request a permit again after a refusal: the limit may
+/// be raised or lifted meanwhile.
+const MAX_CLOSED_MS: u64 = 5_000;
+/// Time after which a daemon that found no leader to request a permit from tries again.
+const UNREACHABLE_CLOSED_MS: u64 = 500;
+/// Delay after which callers should retry in that case: the lease of a leader that was lost runs
+/// out after about this time.
+const UNREACHABLE_RETRY_MS: u64 = 2_000;
 
-/// What endpoints have asked of this daemon.
+/// Signals of endpoints to this daemon.
 #[derive(Debug, Default)]
 pub struct Backpressure {
-    by_life: BTreeMap<Incarnation, SignalState>,
+    by_incarnation: BTreeMap<Incarnation, SignalState>,
 }
 
-/// What one life of an endpoint has asked.
+/// The signals of one incarnation.
 #[derive(Debug, Default)]
 struct SignalState {
     limit: Option<AnnouncedLimit>,
-    rest: Option<Backoff>,
-    /// The last thing that could not be read.
+    backoff: Option<Backoff>,
+    /// The last value that was unreadable.
     unreadable: Option<String>,
-    heard_ms: u64,
+    observed_ms: u64,
 }
 
-/// A rest that an endpoint has asked of this daemon.
+/// A backoff that an endpoint requested from this daemon.
 #[trestle_macros::plain]
 pub struct Backoff {
-    /// Until when it wants nothing.
+    /// Time until which the endpoint accepts no requests.
     pub until_ms: u64,
-    /// When it last asked for it.
+    /// When the endpoint last requested it.
     pub observed_ms: u64,
-    /// The request in whose answer it did.
+    /// Id of the request whose answer requested it.
     pub observed_in: String,
-    /// Requests that it has served since.
+    /// Number of requests that the endpoint has answered since its end.
     served: u32,
 }
 
-/// A limit that an endpoint has named.
+/// A limit that an endpoint announced.
 #[trestle_macros::plain]
 pub struct AnnouncedLimit {
-    /// Requests that it takes in 1,000 s, from all daemons together.
+    /// Requests per 1,000 s that the endpoint accepts from all daemons together.
     pub per_ks: u64,
-    /// When an answer last named one.
+    /// When an answer last announced a limit.
     pub observed_ms: u64,
-    /// The request in whose answer this one was first named.
+    /// Id of the request whose answer announced this limit first.
     pub observed_in: String,
-    /// Answers since that did not name one, and of which no leader knows.
-    silent: u32,
-    silent_ms: u64,
-    /// When a request last tried it that another endpoint could have taken.
-    tried_ms: u64,
-    /// Until when no place is asked for.
+    /// Number of answers since then without a limit that were not reported to a leader yet.
+    answers_without_limit: u32,
+    last_without_ms: u64,
+    /// When a request last tried the endpoint although another one could have taken it.
+    last_trial_ms: u64,
+    /// Time until which no permit is requested.
     closed_until_ms: u64,
-    /// When there should be a place.
-    place_at_ms: u64,
+    /// Time at which a permit should be available.
+    permit_at_ms: u64,
 }
 
-/// Something that is new of an endpoint.
+/// A change of an endpoint's signals.
 #[trestle_macros::plain]
 pub enum SignalChange {
-    /// It names a limit, or another one than before.
+    /// The endpoint announced a limit, or a different one.
     Limit {
-        /// Requests in 1,000 s.
+        /// Requests per 1,000 s.
         per_ks: u64,
     },
-    /// It leaves.
+    /// The endpoint announced that it is draining.
     Draining,
-    /// It wants nothing for a time.
+    /// The endpoint accepts no requests for a time.
     Backoff {
-        /// For how long.
+        /// The length of that time.
         for_ms: u64,
     },
-    /// It says something that cannot be read, and that counts for nothing.
+    /// A signal has an unreadable value and is ignored.
     Unreadable {
-        /// What it would have been.
+        /// Name of the signal.
         what: &'static str,
-        /// How it begins.
+        /// The beginning of its value.
         text: String,
     },
 }
 
-/// One answer of an endpoint, as far as it tells what the endpoint asks for.
+/// One answer of an endpoint, with what matters for its signals.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer<'a> {
-    /// What it says.
+    /// The signals in the headers of the answer.
     pub signals: &'a EndpointSignals,
-    /// Whether the request has run and succeeded.
+    /// Whether the request ran and succeeded.
     pub is_success: bool,
-    /// The request that it answers.
+    /// Id of the request.
     pub id: &'a str,
-    /// When that left.
+    /// When the request was sent.
     pub sent_ms: u64,
 }
 
 impl Backpressure {
-    /// Takes what a life of an endpoint says in an answer; returns what is new of it.
+    /// Applies the signals in an answer of an incarnation. Returns what changed.
     pub fn apply_answer(
         &mut self,
         incarnation: &Incarnation,
         answer: Answer<'_>,
         now_ms: u64,
     ) -> Vec<SignalChange> {
-        let notice = answer.signals;
-        if *notice == EndpointSignals::default() && !self.by_life.contains_key(incarnation) {
+        let signals = answer.signals;
+        if *signals == EndpointSignals::default() && !self.by_incarnation.contains_key(incarnation)
+        {
             return Vec::new();
         }
         self.make_room(incarnation);
-        let asked = self.by_life.entry(incarnation.clone()).or_default();
-        asked.heard_ms = now_ms;
-        let mut heard = Vec::new();
-        heard.extend(asked.hear_limit(answer, now_ms));
-        heard.extend(asked.hear_rest(answer, now_ms));
-        heard.extend(asked.unreadable(notice));
-        heard
+        let state = self.by_incarnation.entry(incarnation.clone()).or_default();
+        state.observed_ms = now_ms;
+        let mut changes = Vec::new();
+        changes.extend(state.apply_limit(answer, now_ms));
+        changes.extend(state.apply_backoff(answer, now_ms));
+        changes.extend(state.unreadable(signals));
+        changes
     }
 
-    /// The limit that a life of an endpoint has named.
+    /// Returns the limit that an incarnation announced.
     pub fn limit(&self, incarnation: &Incarnation) -> Option<&AnnouncedLimit> {
-        self.by_life.get(incarnation)?.limit.as_ref()
+        self.by_incarnation.get(incarnation)?.limit.as_ref()
     }
 
-    /// The rest that a life of an endpoint has asked for, until it serves again as before.
+    /// Returns the backoff that an incarnation requested, until it accepts requests as before.
     pub fn backoff(&self, incarnation: &Incarnation) -> Option<&Backoff> {
-        self.by_life.get(incarnation)?.rest.as_ref()
+        self.by_incarnation.get(incarnation)?.backoff.as_ref()
     }
 
-    /// Time until a rest that a life of an endpoint has asked for is over.
+    /// Returns the remaining time of a backoff that an incarnation requested.
     pub fn backoff_left_ms(&self, incarnation: &Incarnation, now_ms: u64) -> Option<u64> {
-        let rest = self.backoff(incarnation)?;
-        Some(rest.until_ms.saturating_sub(now_ms)).filter(|left_ms| *left_ms > 0)
+        let backoff = self.backoff(incarnation)?;
+        Some(backoff.until_ms.saturating_sub(now_ms)).filter(|left_ms| *left_ms > 0)
     }
 
-    /// Time for which no more requests are sent to a life of an endpoint that rests, or comes
-    /// back from a rest with so many requests of this daemon already.
+    /// Returns the time for which no further request is sent to an incarnation, because of a
+    /// backoff, or because after one this daemon already has `in_flight` requests there.
     pub fn backoff_closed_for_ms(
         &self,
         incarnation: &Incarnation,
         in_flight: u32,
         now_ms: u64,
     ) -> Option<u64> {
-        let rest = self.backoff(incarnation)?;
-        if now_ms < rest.until_ms {
-            return Some(rest.until_ms - now_ms);
+        let backoff = self.backoff(incarnation)?;
+        if now_ms < backoff.until_ms {
+            return Some(backoff.until_ms - now_ms);
         }
-        let is_returning = now_ms < rest.until_ms + RETURNING_MS;
-        let most = 1 + RETURNING_STEP * rest.served;
-        (is_returning && in_flight >= most).then_some(RETURNING_RETRY_MS)
+        let is_ramping_up = now_ms < backoff.until_ms + RAMP_UP_MS;
+        let max_in_flight = 1 + RAMP_UP_STEP * backoff.served;
+        (is_ramping_up && in_flight >= max_in_flight).then_some(RAMP_UP_RETRY_MS)
     }
 
-    /// Whether nothing was asked by anybody.
+    /// Returns whether no endpoint has sent any signal.
     pub fn is_empty(&self) -> bool {
-        self.by_life.is_empty()
+        self.by_incarnation.is_empty()
     }
 
-    /// Time for which no request is sent to a life of an endpoint that has no place there;
-    /// `None` if there is nothing against it, or a place may be asked for.
+    /// Returns the time for which no request without a permit is sent to a limited incarnation;
+    /// `None` if it has no limit, or a permit may be requested.
     pub fn limit_closed_for_ms(&self, incarnation: &Incarnation, now_ms: u64) -> Option<u64> {
         let limit = self.limit(incarnation).filter(|limit| now_ms < limit.closed_until_ms)?;
-        Some(limit.place_at_ms.max(now_ms + 1) - now_ms)
+        Some(limit.permit_at_ms.max(now_ms + 1) - now_ms)
     }
 
-    /// Whether it is time that a request tries an endpoint with a limit which others could take.
-    /// So many daemons share the limit.
+    /// Returns whether a request should now try a limited endpoint although others could take it.
+    /// `daemons` is the number of daemons that share the limit.
     pub fn is_trial_due(&self, incarnation: &Incarnation, daemons: usize, now_ms: u64) -> bool {
-        let every_ms = TRIED_MS * (daemons as u64).div_ceil(FEW_DAEMONS).max(1);
+        let interval_ms = TRIAL_INTERVAL_MS * (daemons as u64).div_ceil(FEW_DAEMONS).max(1);
         let limit = self.limit(incarnation).filter(|limit| now_ms >= limit.closed_until_ms);
-        limit.is_some_and(|limit| now_ms >= limit.tried_ms + every_ms)
+        limit.is_some_and(|limit| now_ms >= limit.last_trial_ms + interval_ms)
     }
 
-    /// Notes that a place is about to be asked for; returns what the leader is to be told.
+    /// Records that a permit is about to be requested. Returns what is reported to the leader
+    /// with the request.
     pub fn permit_requested(
         &mut self,
         incarnation: &Incarnation,
         now_ms: u64,
     ) -> Option<ObservedLimit> {
         let limit = self.limit_mut(incarnation)?;
-        limit.tried_ms = now_ms;
-        let AnnouncedLimit { per_ks, observed_ms: heard_ms, silent_ms, .. } = *limit;
-        let silent = std::mem::take(&mut limit.silent);
+        limit.last_trial_ms = now_ms;
+        let AnnouncedLimit { per_ks, observed_ms, last_without_ms, .. } = *limit;
+        let answers_without_limit = std::mem::take(&mut limit.answers_without_limit);
         Some(ObservedLimit {
             per_ks,
-            observed_ms: heard_ms,
-            answers_without_limit: silent,
-            last_without_ms: silent_ms,
+            observed_ms,
+            answers_without_limit: answers_without_limit,
+            last_without_ms: last_without_ms,
         })
     }
 
-    /// Notes that there is no place for a time.
+    /// Records that no permit is available for `in_ms`.
     pub fn permit_refused(&mut self, incarnation: &Incarnation, in_ms: u64, now_ms: u64) {
         if let Some(limit) = self.limit_mut(incarnation) {
-            limit.closed_until_ms = now_ms + in_ms.min(MOST_CLOSED_MS);
-            limit.place_at_ms = now_ms + in_ms;
+            limit.closed_until_ms = now_ms + in_ms.min(MAX_CLOSED_MS);
+            limit.permit_at_ms = now_ms + in_ms;
         }
     }
 
-    /// Notes that nobody could be asked who lends places.
+    /// Records that no leader could be reached to request a permit from.
     pub fn allocator_unreachable(&mut self, incarnation: &Incarnation, now_ms: u64) {
         if let Some(limit) = self.limit_mut(incarnation) {
-            limit.closed_until_ms = now_ms + ASKED_IN_VAIN_MS;
-            limit.place_at_ms = now_ms + NO_LENDER_MS;
+            limit.closed_until_ms = now_ms + UNREACHABLE_CLOSED_MS;
+            limit.permit_at_ms = now_ms + UNREACHABLE_RETRY_MS;
         }
     }
 
-    /// Notes that a leader knows of no limit any more; returns whether that is news. What an
-    /// answer named after it was asked counts more.
-    pub fn limit_lifted(&mut self, incarnation: &Incarnation, asked_ms: u64) -> bool {
-        let Some(asked) = self.by_life.get_mut(incarnation) else { return false };
-        asked.limit.take_if(|limit| limit.observed_ms <= asked_ms).is_some()
+    /// Records that a leader knows of no limit any more. Returns whether that is a change: a
+    /// limit that an answer announced after the leader was queried stays.
+    pub fn limit_lifted(&mut self, incarnation: &Incarnation, queried_ms: u64) -> bool {
+        let Some(state) = self.by_incarnation.get_mut(incarnation) else { return false };
+        state.limit.take_if(|limit| limit.observed_ms <= queried_ms).is_some()
     }
 
-    /// Lives that have named a limit.
+    /// Returns the number of incarnations with a limit.
     pub fn limited(&self) -> usize {
-        self.by_life.values().filter(|asked| asked.limit.is_some()).count()
+        self.by_incarnation.values().filter(|state| state.limit.is_some()).count()
     }
 
-    /// Lives that rest.
+    /// Returns the number of incarnations that are in a backoff.
     pub fn backing_off(&self, now_ms: u64) -> usize {
-        let rests = self.by_life.values().filter_map(|asked| asked.rest.as_ref());
-        rests.filter(|rest| now_ms < rest.until_ms).count()
+        let backoffs = self.by_incarnation.values().filter_map(|state| state.backoff.as_ref());
+        backoffs.filter(|backoff| now_ms < backoff.until_ms).count()
     }
 
-    /// Forgets lives that have not been listed for long.
+    /// Drops incarnations that have not been listed for long.
     pub fn retain(&mut self, is_listed: impl Fn(&Incarnation) -> bool, now_ms: u64) {
-        self.by_life.retain(|incarnation, asked| {
-            is_listed(incarnation) || now_ms < asked.heard_ms + KEPT_MS
+        self.by_incarnation.retain(|incarnation, state| {
+            is_listed(incarnation) || now_ms < state.observed_ms + UNLISTED_KEPT_MS
         });
     }
 
     fn limit_mut(&mut self, incarnation: &Incarnation) -> Option<&mut AnnouncedLimit> {
-        self.by_life.get_mut(incarnation)?.limit.as_mut()
+        self.by_incarnation.get_mut(incarnation)?.limit.as_mut()
     }
 
     fn make_room(&mut self, incarnation: &Incarnation) {
-        if self.by_life.len() < MOST_LIVES || self.by_life.contains_key(incarnation) {
+        if self.by_incarnation.len() < MAX_INCARNATIONS
+            || self.by_incarnation.contains_key(incarnation)
+        {
             return;
         }
-        let oldest = self.by_life.iter().min_by_key(|(_, asked)| asked.heard_ms);
+        let oldest = self.by_incarnation.iter().min_by_key(|(_, state)| state.observed_ms);
         if let Some(incarnation) = oldest.map(|(incarnation, _)| incarnation.clone()) {
-            self.by_life.remove(&incarnation);
+            self.by_incarnation.remove(&incarnation);
         }
     }
 }
 
 impl SignalState {
-    /// Takes the rest that an answer asks for, or that it asks for none.
-    fn hear_rest(&mut self, answer: Answer<'_>, now_ms: u64) -> Option<SignalChange> {
+    /// Applies the backoff that an answer requests, or its absence.
+    fn apply_backoff(&mut self, answer: Answer<'_>, now_ms: u64) -> Option<SignalChange> {
         if let Some(&for_ms) = answer.signals.backoff_ms.value() {
-            // A shorter one that is asked for later does not end a longer one.
-            let before_ms = self.rest.as_ref().map_or(0, |rest| rest.until_ms);
+            // A later, shorter backoff does not end a longer one.
+            let before_ms = self.backoff.as_ref().map_or(0, |backoff| backoff.until_ms);
             let until_ms = before_ms.max(now_ms + for_ms);
-            let heard_in = answer.id.to_owned();
-            self.rest =
-                Some(Backoff { until_ms, observed_ms: now_ms, observed_in: heard_in, served: 0 });
+            let observed_in = answer.id.to_owned();
+            self.backoff = Some(Backoff {
+                until_ms,
+                observed_ms: now_ms,
+                observed_in: observed_in,
+                served: 0,
+            });
             return Some(SignalChange::Backoff { for_ms });
         }
-        let rest = self.rest.as_mut()?;
-        rest.served += u32::from(answer.is_success && answer.sent_ms >= rest.until_ms);
-        self.rest.take_if(|rest| rest.served >= RETURNED_SERVED);
+        let backoff = self.backoff.as_mut()?;
+        backoff.served += u32::from(answer.is_success && answer.sent_ms >= backoff.until_ms);
+        self.backoff.take_if(|backoff| backoff.served >= RAMP_UP_SERVED);
         None
     }
 
-    /// Takes the limit that an answer names, or that it names none.
-    fn hear_limit(&mut self, answer: Answer<'_>, now_ms: u64) -> Option<SignalChange> {
+    /// Applies the limit that an answer announces, or its absence.
+    fn apply_limit(&mut self, answer: Answer<'_>, now_ms: u64) -> Option<SignalChange> {
         match (&answer.signals.limit_per_ks, &mut self.limit) {
             (HeaderField::Value(per_ks), Some(limit)) => {
                 let is_new = limit.per_ks != *per_ks;
@@ -302,7 +314,7 @@
                 }
                 limit.per_ks = *per_ks;
                 limit.observed_ms = now_ms;
-                limit.silent = 0;
+                limit.answers_without_limit = 0;
                 is_new.then_some(SignalChange::Limit { per_ks: *per_ks })
             }
             (HeaderField::Value(per_ks), None) => {
@@ -310,41 +322,41 @@
                     per_ks: *per_ks,
                     observed_ms: now_ms,
                     observed_in: answer.id.to_owned(),
-                    silent: 0,
-                    silent_ms: 0,
-                    tried_ms: now_ms,
+                    answers_without_limit: 0,
+                    last_without_ms: 0,
+                    last_trial_ms: now_ms,
                     closed_until_ms: 0,
-                    place_at_ms: 0,
+                    permit_at_ms: 0,
                 });
                 Some(SignalChange::Limit { per_ks: *per_ks })
             }
-            // An answer to a request that had left before says what was true before.
+            // An answer to a request that was sent earlier reflects an earlier state.
             (HeaderField::Absent, Some(limit))
                 if answer.is_success && answer.sent_ms >= limit.observed_ms =>
             {
-                limit.silent += 1;
-                limit.silent_ms = now_ms;
+                limit.answers_without_limit += 1;
+                limit.last_without_ms = now_ms;
                 None
             }
             (HeaderField::Absent | HeaderField::Unreadable(_), _) => None,
         }
     }
 
-    /// What cannot be read, unless it was the same before.
-    fn unreadable(&mut self, notice: &EndpointSignals) -> Option<SignalChange> {
-        let limit = (unreadable_text(&notice.limit_per_ks), "limit");
-        let leaving = (unreadable_text(&notice.draining), "leaving");
-        let rest = (unreadable_text(&notice.backoff_ms), "rest");
+    /// Returns the unreadable value of an answer, unless it is the same as before.
+    fn unreadable(&mut self, signals: &EndpointSignals) -> Option<SignalChange> {
+        let limit = (unreadable_text(&signals.limit_per_ks), "limit");
+        let leaving = (unreadable_text(&signals.draining), "leaving");
+        let backoff = (unreadable_text(&signals.backoff_ms), "rest");
         let (text, what) =
-            [limit, leaving, rest].into_iter().find_map(|(text, what)| Some((text?, what)))?;
+            [limit, leaving, backoff].into_iter().find_map(|(text, what)| Some((text?, what)))?;
         let is_new = self.unreadable.as_deref() != Some(text);
         self.unreadable = Some(text.to_owned());
         is_new.then(|| SignalChange::Unreadable { what, text: text.to_owned() })
     }
 }
 
-fn unreadable_text<T>(said: &HeaderField<T>) -> Option<&str> {
-    match said {
+fn unreadable_text<T>(field: &HeaderField<T>) -> Option<&str> {
+    match field {
         HeaderField::Unreadable(text) => Some(text),
         HeaderField::Absent | HeaderField::Value(_) => None,
     }
--- a/crates/trestle-dispatch/src/crashes.rs
+++ b/crates/trestle-dispatch/src/crashes.rs
@@ -1,170 +1,188 @@
-//! Requests under which endpoints ended, as all daemons together know them.
+//! Requests under which endpoints crashed, as all daemons know them together.
 //!
 //! The load that this answers: a request that crashes each endpoint which begins to run it, and
-//! whose caller comes back for as long as it fails, at any daemon. Remembered by nobody, one
-//! such request ended 15 of 9 engines in 10 s, each start of them included, and with each all
-//! that ran there. So each daemon notes under which requests endpoints ended, leaders gather
-//! that, and a request under which as many ended as [`MOST_ENDS`] is refused everywhere.
+//! whose caller retries at any daemon for as long as it fails. Without this record one such
+//! request crashed 15 of 9 engines in 10 s, restarts included, and aborted everything that ran
+//! there. So each daemon records under which requests endpoints crashed, leaders collect these
+//! records, and a request under which [`MAX_CRASHES`] endpoints crashed is rejected everywhere.
 //!
-//! What ran beside such a request is noted, too, and so is what many callers ask for while a
-//! rack loses power. It is told apart by what becomes of it: one whole answer, at any daemon,
-//! shows that a request ends nothing. So that there can be one, a request is let through again
-//! after a while, which grows each time that an endpoint ends under it once more.
+//! Requests that ran beside such a request are recorded too, and so are requests of many callers
+//! while a rack loses power. One complete answer at any daemon clears them: it proves that the
+//! request crashes nothing. To make such an answer possible, a rejected request is admitted again
+//! after a time that grows with each further crash.
+//!
+//! A request is called restricted while it is rejected, or while only one attempt of it may run
+//! at a time.
 
 use crate::{endpoint::Incarnation, fingerprint::Fingerprint};
 use std::collections::BTreeMap;
 
-/// Ends under one request from which on it is refused. With one less, 9 of 286 requests that
-/// only ran beside such a one would have been refused as well; with one more, it costs another
-/// endpoint with all that runs there.
+/// Number of crashes under one request from which on it is rejected. With one less, 9 of 286
+/// requests that only ran beside such a request would have been rejected as well; with one more,
+/// each such request crashes another endpoint and aborts everything that runs there.
 pub const MAX_CRASHES: usize = 3;
-/// Ends from which on one attempt runs at a time: what ends endpoints then ends one more, not as
-/// many as its callers reach at once.
-const TRIED_ENDS: usize = MAX_CRASHES - 1;
-/// Time for which it is refused at first, from the last end on. What ended three endpoints at
-/// once by another cause is over by then, and engines have loaded their models, for 6 to 13 s.
-const FIRST_REFUSED_MS: u64 = 30_000;
-/// By how much longer it is refused each time that it was let through and ended another.
-const REFUSED_GROWTH: u64 = 4;
-/// Longest time for which it is refused. An engine that ends has to load its models again:
-/// once in ten minutes that is 2 % of one engine at most.
-const MOST_REFUSED_MS: u64 = 600_000;
-/// Time within which ends count as one occasion: attempts that were under way together.
+/// Number of crashes from which on only one attempt of a request runs at a time: a request that
+/// crashes endpoints then crashes one more, not as many as its callers reach at once.
+const SERIAL_CRASHES: usize = MAX_CRASHES - 1;
+/// Time for which a request is rejected at first, from its last crash on. If another cause
+/// crashed three endpoints at once, it has passed by then, and the engines have loaded their
+/// models again, which takes 6 to 13 s.
+const FIRST_REJECTED_MS: u64 = 30_000;
+/// Factor by which the time grows each time that the request was admitted and crashed another
+/// endpoint.
+const REJECTED_GROWTH: u64 = 4;
+/// Longest time for which a request is rejected. A crashed engine has to load its models again:
+/// once in ten minutes this costs at most 2 % of one engine.
+const MAX_REJECTED_MS: u64 = 600_000;
+/// Time within which crashes count as one occasion: attempts that ran concurrently.
 const OCCASION_MS: u64 = 10_000;
-/// Time after which a request is forgotten. In the second half of it the request is let through,
-/// and the next end under it has it refused again.
-const FORGOTTEN_MS: u64 = 2 * MOST_REFUSED_MS;
-/// Ends that are kept of one request: three, and as many occasions as the time grows.
-const MOST_KEPT: usize = MAX_CRASHES + 3;
-/// Requests that are remembered: 2,000 slots of engines that end at once, twice over. About
-/// 1 MB.
-const MOST_REQUESTS: usize = 4_096;
-/// Difference by which two daemons may date the same end.
-const SAME_TIME_MS: u64 = 2_000;
+/// Time after which a request is forgotten. In the second half of it the request is admitted, and
+/// the next crash under it has it rejected again.
+const EXPIRY_MS: u64 = 2 * MAX_REJECTED_MS;
+/// Number of crashes that are kept for one request: three, and as many more as the time can grow.
+const MAX_KEPT_CRASHES: usize = MAX_CRASHES + 3;
+/// Number of requests that are kept: twice the 2,000 slots of engines that may crash at once.
+/// They take about 1 MB.
+const MAX_REQUESTS: usize = 4_096;
+/// Longest difference between the times that two daemons give for the same crash.
+const SAME_CRASH_MS: u64 = 2_000;
 
-/// Requests under which endpoints ended.
+/// Requests under which endpoints crashed.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    /// Time by which this daemon lets requests through later than others, so that not all try
-    /// at once: the news of an end takes about a second.
-    late_ms: u64,
-    by_request: BTreeMap<Fingerprint, Record>,
-    /// Number of the last change.
+    /// Additional time for which this daemon rejects requests, so that not all daemons admit one
+    /// at the same time: the report of a crash takes about a second to reach them.
+    delay_ms: u64,
+    by_request: BTreeMap<Fingerprint, CrashRecord>,
+    /// Number of changes so far.
     changes: u64,
-    /// Number of the last change of a request that is refused.
-    refused_changes: u64,
+    /// Number of the last change of a restricted request.
+    last_restricted_change: u64,
 }
 
 /// What is known of one request.
 #[derive(Debug, Default)]
-struct Record {
-    /// The last lives of endpoints that ended under it, and when.
+struct CrashRecord {
+    /// The most recent incarnations that crashed under the request, and when.
     crashes: BTreeMap<Incarnation, u64>,
-    /// Whether it had a whole answer, so that it ends nothing.
+    /// Whether the request was answered completely, so that it crashes nothing.
     is_served: bool,
-    /// Number of its last change.
-    changed: u64,
+    /// Number of the request's last change.
+    last_change: u64,
 }
 
-/// What one daemon tells another of one request.
+/// What one daemon reports to another about one request.
 #[trestle_macros::plain]
 pub struct CrashReport {
     /// The request.
     pub request: Fingerprint,
-    /// The last lives of endpoints that ended under it, and for how many ms they have.
+    /// The most recent incarnations that crashed under the request, and how many milliseconds
+    /// ago.
     pub crashes: Vec<(Incarnation, u64)>,
-    /// Whether it had a whole answer.
+    /// Whether the request was answered completely.
     pub is_served: bool,
 }
 
 impl Crashes {
-    /// Nothing is known yet. Of all daemons each should let requests through later by a time of
-    /// its own, of up to some seconds.
-    pub fn with_delay(late_ms: u64) -> Self {
-        Self { late_ms, ..Self::default() }
+    /// Returns an empty record that rejects requests for `delay_ms` longer. Each daemon should
+    /// use a delay of its own of up to some seconds.
+    pub fn with_delay(delay_ms: u64) -> Self {
+        Self { delay_ms, ..Self::default() }
     }
 
-    /// Notes that an endpoint ended under a request; returns whether that is refused from now on.
+    /// Records that an endpoint crashed under a request. Returns whether the request is rejected
+    /// from now on.
     pub fn record_crash(
         &mut self,
         request: Fingerprint,
         endpoint: &Incarnation,
         now_ms: u64,
     ) -> bool {
-        let ends = vec![(endpoint.clone(), 0)];
+        let crashes = vec![(endpoint.clone(), 0)];
         !self
-            .apply_reports(&[CrashReport { request, crashes: ends, is_served: false }], now_ms)
+            .apply_reports(&[CrashReport { request, crashes: crashes, is_served: false }], now_ms)
             .is_empty()
     }
 
-    /// Notes that a request had a whole answer; returns how many endpoints had ended under it, if
-    /// it was tried or refused until now.
+    /// Records that a request was answered completely. Returns the number of endpoints that
+    /// crashed under it, if it was restricted until now.
     pub fn served(&mut self, request: Fingerprint) -> Option<usize> {
         let record = self.by_request.get_mut(&request)?;
         if record.is_served {
             return None;
         }
         record.is_served = true;
-        let ends = record.crashes.len();
-        self.note_changed(request);
-        Some(ends).filter(|ends| *ends >= TRIED_ENDS)
+        let crashes = record.crashes.len();
+        self.record_change(request);
+        Some(crashes).filter(|crashes| *crashes >= SERIAL_CRASHES)
     }
 
-    /// For how long a request is refused.
-    pub fn refused_for_ms(&self, request: Fingerprint, now_ms: u64) -> Option<u64> {
-        let until_ms = self.by_request.get(&request)?.refused_until_ms()? + self.late_ms;
+    /// Returns the remaining time for which a request is rejected; `None` if it is not rejected.
+    pub fn rejected_for_ms(&self, request: Fingerprint, now_ms: u64) -> Option<u64> {
+        let until_ms = self.by_request.get(&request)?.rejected_until_ms()? + self.delay_ms;
         until_ms.checked_sub(now_ms).filter(|for_ms| *for_ms > 0)
     }
 
-    /// Whether one attempt of a request may run at a time, so that it is found out whether it
-    /// ends endpoints.
+    /// Returns whether only one attempt of a request may run at a time, to find out whether it
+    /// crashes endpoints.
     pub fn must_run_serially(&self, request: Fingerprint) -> bool {
         self.must_run_serially_with_unresolved(request, 0)
     }
 
-    /// The same where it is not known of so many more endpoints whether they ended under it.
-    pub fn must_run_serially_with_unresolved(&self, request: Fingerprint, in_doubt: usize) -> bool {
+    /// Returns the same, if `unresolved` more endpoints may have crashed under the request.
+    pub fn must_run_serially_with_unresolved(
+        &self,
+        request: Fingerprint,
+        unresolved: usize,
+    ) -> bool {
         let record = self.by_request.get(&request).filter(|record| !record.crashes.is_empty());
         match record {
-            Some(record) => !record.is_served && record.crashes.len() + in_doubt >= TRIED_ENDS,
-            None => in_doubt >= TRIED_ENDS,
+            Some(record) => {
+                !record.is_served && record.crashes.len() + unresolved >= SERIAL_CRASHES
+            }
+            None => unresolved >= SERIAL_CRASHES,
         }
     }
 
-    /// What has changed after a change, and the number of the last one.
+    /// Returns the requests that changed after a change number, and the number of the last
+    /// change.
     pub fn changes_since(&self, after: u64, now_ms: u64) -> (Vec<CrashReport>, u64) {
-        let changed = self.by_request.iter().filter(|(_, record)| record.changed > after);
-        (changed.map(|(request, record)| record.report(*request, now_ms)).collect(), self.changes)
+        let last_change = self.by_request.iter().filter(|(_, record)| record.last_change > after);
+        (
+            last_change.map(|(request, record)| record.report(*request, now_ms)).collect(),
+            self.changes,
+        )
     }
 
-    /// Number of the last change of a request that is tried or refused, or was until it had an
-    /// answer.
+    /// Returns the number of the last change of a request that is restricted, or was until it had
+    /// an answer.
     pub fn last_restricted_change(&self) -> u64 {
-        self.refused_changes
+        self.last_restricted_change
     }
 
-    /// Requests that are tried or refused, or were until they had an answer, the last ones first,
-    /// and the number of their last change.
+    /// Returns the requests that are restricted, or were until they had an answer, the most
+    /// recent ones first, and the number of their last change.
     pub fn restricted_reports(&self, now_ms: u64) -> (Vec<CrashReport>, u64) {
-        let mut refused: Vec<(u64, CrashReport)> = self
+        let mut rejected: Vec<(u64, CrashReport)> = self
             .by_request
             .iter()
             .filter_map(|(request, record)| {
                 let last_ms = record.last_ms();
-                let is_told = record.crashes.len() >= TRIED_ENDS && now_ms < last_ms + FORGOTTEN_MS;
-                is_told.then(|| (last_ms, record.report(*request, now_ms)))
+                let is_reported =
+                    record.crashes.len() >= SERIAL_CRASHES && now_ms < last_ms + EXPIRY_MS;
+                is_reported.then(|| (last_ms, record.report(*request, now_ms)))
             })
             .collect();
-        refused.sort_by_key(|(last_ms, _)| std::cmp::Reverse(*last_ms));
-        (refused.into_iter().map(|(_, report)| report).collect(), self.refused_changes)
+        rejected.sort_by_key(|(last_ms, _)| std::cmp::Reverse(*last_ms));
+        (rejected.into_iter().map(|(_, report)| report).collect(), self.last_restricted_change)
     }
 
-    /// Takes what another daemon knows; returns requests that are refused from now on.
+    /// Applies the reports of another daemon. Returns the requests that are rejected from now on.
     pub fn apply_reports(&mut self, reports: &[CrashReport], now_ms: u64) -> Vec<Fingerprint> {
-        self.forget(now_ms);
-        let mut refused = Vec::new();
+        self.drop_expired(now_ms);
+        let mut rejected = Vec::new();
         for report in reports {
-            let was_refused = self.refused_for_ms(report.request, now_ms).is_some();
+            let was_rejected = self.rejected_for_ms(report.request, now_ms).is_some();
             let record = self.by_request.entry(report.request).or_default();
             let mut is_changed = report.is_served && !record.is_served;
             record.is_served |= report.is_served;
@@ -172,27 +190,27 @@
                 is_changed |= record.add(endpoint, now_ms.saturating_sub(*age_ms));
             }
             if is_changed {
-                self.note_changed(report.request);
+                self.record_change(report.request);
             }
-            if !was_refused && self.refused_for_ms(report.request, now_ms).is_some() {
-                refused.push(report.request);
+            if !was_rejected && self.rejected_for_ms(report.request, now_ms).is_some() {
+                rejected.push(report.request);
             }
         }
-        refused
+        rejected
     }
 
-    fn note_changed(&mut self, request: Fingerprint) {
+    fn record_change(&mut self, request: Fingerprint) {
         self.changes += 1;
         let Some(record) = self.by_request.get_mut(&request) else { return };
-        record.changed = self.changes;
-        if record.crashes.len() >= TRIED_ENDS {
-            self.refused_changes = self.changes;
+        record.last_change = self.changes;
+        if record.crashes.len() >= SERIAL_CRASHES {
+            self.last_restricted_change = self.changes;
         }
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        self.by_request.retain(|_, record| now_ms < record.last_ms() + FORGOTTEN_MS);
-        while self.by_request.len() > MOST_REQUESTS {
+    fn drop_expired(&mut self, now_ms: u64) {
+        self.by_request.retain(|_, record| now_ms < record.last_ms() + EXPIRY_MS);
+        while self.by_request.len() > MAX_REQUESTS {
             let oldest = self.by_request.iter().min_by_key(|(_, record)| record.weight());
             let Some((oldest, _)) = oldest else { return };
             let oldest = *oldest;
@@ -201,16 +219,17 @@
     }
 }
 
-impl Record {
-    /// Adds an end; returns whether that is news. Of more than are needed the last ones stay.
+impl CrashRecord {
+    /// Adds a crash. Returns whether it was unknown. If there are too many, the most recent ones
+    /// are kept.
     fn add(&mut self, endpoint: &Incarnation, at_ms: u64) -> bool {
         if self.crashes.contains_key(endpoint) {
             return false;
         }
-        if self.crashes.len() >= MOST_KEPT {
+        if self.crashes.len() >= MAX_KEPT_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, at_ms)| **at_ms);
             let Some((oldest, oldest_ms)) = oldest else { return false };
-            if at_ms <= oldest_ms + SAME_TIME_MS {
+            if at_ms <= oldest_ms + SAME_CRASH_MS {
                 return false;
             }
             let oldest = oldest.clone();
@@ -224,13 +243,13 @@
         self.crashes.values().copied().max().unwrap_or_default()
     }
 
-    fn refused_until_ms(&self) -> Option<u64> {
+    fn rejected_until_ms(&self) -> Option<u64> {
         let is_known = self.crashes.len() >= MAX_CRASHES && !self.is_served;
-        is_known.then(|| self.last_ms() + self.refused_ms())
+        is_known.then(|| self.last_ms() + self.rejected_ms())
     }
 
-    /// For how long it is refused from the last end on.
-    fn refused_ms(&self) -> u64 {
+    /// Returns for how long the request is rejected, from its last crash on.
+    fn rejected_ms(&self) -> u64 {
         let mut times: Vec<u64> = self.crashes.values().copied().collect();
         times.sort_unstable();
         let Some((mut last_ms, further)) =
@@ -238,24 +257,25 @@
         else {
             return 0;
         };
-        let mut refused_ms = FIRST_REFUSED_MS;
+        let mut rejected_ms = FIRST_REJECTED_MS;
         for at_ms in further {
             if *at_ms > last_ms + OCCASION_MS {
-                refused_ms = (refused_ms * REFUSED_GROWTH).min(MOST_REFUSED_MS);
+                rejected_ms = (rejected_ms * REJECTED_GROWTH).min(MAX_REJECTED_MS);
                 last_ms = *at_ms;
             }
         }
-        refused_ms
+        rejected_ms
     }
 
-    /// What is forgotten last where there is too much: what ended most, and lately.
+    /// Returns the sort key for dropping requests: those with few and old crashes are dropped
+    /// first.
     fn weight(&self) -> (usize, u64) {
         (self.crashes.len(), self.last_ms())
     }
 
     fn report(&self, request: Fingerprint, now_ms: u64) -> CrashReport {
-        let ends = self.crashes.iter();
-        let ends = ends.map(|(name, at_ms)| (name.clone(), now_ms.saturating_sub(*at_ms)));
-        CrashReport { request, crashes: ends.collect(), is_served: self.is_served }
+        let crashes = self.crashes.iter();
+        let crashes = crashes.map(|(name, at_ms)| (name.clone(), now_ms.saturating_sub(*at_ms)));
+        CrashReport { request, crashes: crashes.collect(), is_served: self.is_served }
     }
 }
--- a/crates/trestle-dispatch/src/directory.rs
+++ b/crates/trestle-dispatch/src/directory.rs
@@ -1,9 +1,9 @@
-//! The list of live endpoints, as the store tells it.
+//! The live endpoints, according to the entries in the store.
 //!
-//! The list can be wrong for a while: entries lapse while the store is away
-//! although their endpoints live. Such an entry is kept until it had time to
-//! come back. An entry that says "leaving" is believed until the endpoint starts again,
-//! whatever an older message says later.
+//! The entries can be wrong for a while: they lapse while the store is unavailable although their
+//! endpoints are alive. Such an entry is kept until its endpoint had time to write it again. An
+//! entry with the draining mark stays in force until the endpoint restarts, even if an older
+//! message that arrives later lacks the mark.
 
 use crate::{
     departures::{Departure, Departures},
@@ -15,68 +15,72 @@
 };
 use trestle_core::names::{DomainName, EndpointName, ServiceName};
 
-/// Time after the store's return in which lapsed entries come back, if their
-/// endpoints live. The users' letter says about two seconds.
-const COME_BACK_MS: u64 = 2_000;
-/// Time that a request may take from the choice of its endpoint until it gets there.
-const ON_ITS_WAY_MS: u64 = 300;
-/// The list of live endpoints.
+/// Time after the store's return in which live endpoints write their lapsed entries again.
+/// Endpoints are specified to do so within about two seconds.
+const REWRITE_MS: u64 = 2_000;
+/// Longest time from the choice of an endpoint until the request arrives there.
+const IN_TRANSIT_MS: u64 = 300;
+/// The live endpoints.
 #[derive(Debug)]
 pub struct Directory {
     endpoints: BTreeMap<EndpointName, Arc<Endpoint>>,
-    /// Starts of endpoints that left or are gone.
+    /// Incarnations that are draining or gone.
     departures: Departures,
-    /// Entries that vanished in a time of doubt, and when they count as gone.
+    /// Entries that lapsed when the store was, or had just been, unavailable, and the time until
+    /// which each is kept.
     lapsed_until_ms: BTreeMap<EndpointName, u64>,
-    /// Time for which an endpoint that has left may still get requests.
-    leaving_ms: u64,
+    /// Longest time for which requests may be sent to an endpoint after it announced that it
+    /// drains.
+    draining_ms: u64,
     /// When the store was last read.
     read_ms: u64,
-    /// Since when it cannot be read.
+    /// Since when the store cannot be read; `None` while it can.
     unread_since_ms: Option<u64>,
-    /// The last time without the store.
-    gap: Option<Gap>,
+    /// The most recent period without the store.
+    last_outage: Option<StoreOutage>,
 }
 
-/// A time in which the store could not be read.
+/// A period in which the store could not be read.
 #[derive(Debug, Clone, Copy)]
-struct Gap {
-    /// When it was last read before.
-    known_ms: u64,
-    /// How long it is known not to have answered.
+struct StoreOutage {
+    /// Time of the last read before the period.
+    last_read_ms: u64,
+    /// Known length of the period.
     length_ms: u64,
-    /// When it was read again.
-    over_ms: u64,
+    /// Time of the first read after the period.
+    ended_ms: u64,
 }
 
 impl Directory {
-    /// An empty list; endpoints that have left may get requests for so long.
-    pub fn new(leaving_ms: u64) -> Self {
+    /// Returns an empty directory. Requests may be sent to an endpoint for `draining_ms` after it
+    /// announced that it drains.
+    pub fn new(draining_ms: u64) -> Self {
         Self {
             endpoints: BTreeMap::new(),
             departures: Departures::default(),
             lapsed_until_ms: BTreeMap::new(),
-            leaving_ms,
+            draining_ms,
             read_ms: 0,
             unread_since_ms: None,
-            gap: None,
+            last_outage: None,
         }
     }
 
-    /// Sets the time for which an endpoint that has left may still get requests.
-    pub fn set_draining_ms(&mut self, leaving_ms: u64) {
-        self.leaving_ms = leaving_ms;
+    /// Sets the time for which requests may be sent to an endpoint after it announced that it
+    /// drains.
+    pub fn set_draining_ms(&mut self, draining_ms: u64) {
+        self.draining_ms = draining_ms;
     }
 
-    /// Takes an entry that was written. One that its endpoint had written before its last one
-    /// was removed names nothing to use, and neither does another writer's; returns whether it
-    /// is taken.
+    /// Applies an entry that was written to the store. Returns whether it was accepted: an entry
+    /// that its endpoint wrote before its last entry was removed is rejected, and so is an entry
+    /// of another writer.
     pub fn apply_written(&mut self, mut endpoint: Endpoint) -> bool {
         if self.departures.is_foreign(&endpoint) {
             self.departures.record_foreign_entry(&endpoint.name);
             return false;
         }
-        if self.is_of_before(&endpoint) {
+        if self.is_outdated(&endpoint) {
             return false;
         }
         self.lapsed_until_ms.remove(&endpoint.name);
@@ -84,20 +88,21 @@
             self.departures.mark_draining(endpoint.incarnation());
         }
         endpoint.is_draining |= self.was_draining(&endpoint.incarnation());
-        // Numbers start anew with each start; entries of two starts come in the store's order.
+        // Message numbers restart with each incarnation; entries of different incarnations arrive
+        // in the order of the store.
         if let Some(known) = self.endpoints.get(&endpoint.name)
             && known.started_unix_ms == endpoint.started_unix_ms
             && known.entry_number > endpoint.entry_number
         {
-            // An older message that arrived late: only its news of leaving counts.
-            let is_leaving = endpoint.is_draining;
-            endpoint = Endpoint { is_draining: is_leaving, ..Endpoint::clone(known) };
+            // An older message that arrived late: only its draining mark is used.
+            let is_draining = endpoint.is_draining;
+            endpoint = Endpoint { is_draining: is_draining, ..Endpoint::clone(known) };
         }
         self.endpoints.insert(endpoint.name.clone(), Arc::new(endpoint));
         true
     }
 
-    /// Takes an entry that says nothing of what its engine holds; returns whether it is taken.
+    /// Applies an entry that does not say what its engine holds. Returns whether it was accepted.
     pub fn apply_listed(&mut self, mut endpoint: Endpoint) -> bool {
         let known = self.endpoints.get(&endpoint.name);
         if let Some(known) = known.filter(|known| known.started_unix_ms == endpoint.started_unix_ms)
@@ -110,20 +115,20 @@
         self.apply_written(endpoint)
     }
 
-    /// Whether an entry is none that its endpoint wrote after its last one was removed. Where
-    /// starts cannot be told apart, numbers may have begun anew.
-    fn is_of_before(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint wrote this entry before its last entry was removed. Without
+    /// start times incarnations cannot be distinguished, and message numbers may have restarted.
+    fn is_outdated(&self, endpoint: &Endpoint) -> bool {
         if !endpoint.has_start_time() {
             return false;
         }
-        let last = self.departures.last_number(&endpoint.incarnation());
+        let last_number = self.departures.last_number(&endpoint.incarnation());
         let is_listed = self.contains(&endpoint.incarnation());
         let is_kept = is_listed && !self.lapsed_until_ms.contains_key(&endpoint.name);
-        !is_kept && last.is_some_and(|last| endpoint.entry_number <= last)
+        !is_kept && last_number.is_some_and(|last_number| endpoint.entry_number <= last_number)
     }
 
-    /// Takes that a start of an endpoint has said in an answer that it leaves; returns whether
-    /// that is news. No entry says more of it than the endpoint does.
+    /// Records that an incarnation announced in an answer that it is draining. Returns whether
+    /// that was unknown. The endpoint's own answer overrides its entry.
     pub fn mark_draining(&mut self, incarnation: &Incarnation) -> bool {
         if self.was_draining(incarnation) {
             return false;
@@ -138,14 +143,14 @@
         true
     }
 
-    /// Starts of endpoints that left or are gone, to be told to daemons that may not have heard of
-    /// them, so many at most.
+    /// Returns at most `most` incarnations that are draining or gone, to be reported to daemons
+    /// that may not know of them.
     pub fn departures(&self, most: usize) -> Vec<Departure> {
         self.departures.reports(most, |incarnation| self.contains(incarnation))
     }
 
-    /// Takes what another daemon knows of an endpoint that left or is gone; returns whether one
-    /// that is listed here names nothing to use by that.
+    /// Applies what another daemon knows about a draining or departed endpoint. Returns whether
+    /// the entry that is listed here was dropped because it names no usable endpoint.
     pub fn apply_departure(&mut self, departure: &Departure) -> bool {
         if !self.departures.apply(departure) {
             return false;
@@ -156,37 +161,37 @@
             Arc::make_mut(listed).is_draining = true;
         }
         let listed = Endpoint::clone(listed);
-        let last =
+        let last_number =
             self.departures.last_number(&listed.incarnation()).filter(|_| listed.has_start_time());
-        let is_of_before = last.is_some_and(|last| listed.entry_number <= last);
+        let is_outdated = last_number.is_some_and(|last_number| listed.entry_number <= last_number);
         let is_foreign = self.departures.is_foreign(&listed);
         if is_foreign {
             self.departures.record_foreign_entry(name);
         }
-        let names_nothing = is_foreign || is_of_before;
-        if names_nothing {
+        let is_dropped = is_foreign || is_outdated;
+        if is_dropped {
             self.endpoints.remove(name);
             self.lapsed_until_ms.remove(name);
         }
-        names_nothing
+        is_dropped
     }
 
-    /// Takes what an engine is thought to hold.
+    /// Sets what an engine is assumed to hold.
     pub fn assume_held(&mut self, name: &EndpointName, held: Held) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             Arc::make_mut(endpoint).held = held;
         }
     }
 
-    /// Takes the removal of an entry.
+    /// Applies the removal of an entry.
     pub fn apply_removal(&mut self, name: &EndpointName, now_ms: u64) {
         let Some(known) = self.endpoints.get(name) else { return };
         let (incarnation, last_number) = (known.incarnation(), known.entry_number);
-        let is_staying = !self.was_draining(&incarnation);
+        let is_active = !self.was_draining(&incarnation);
         let kept_until_ms = self.kept_until_ms(now_ms).filter(|until| now_ms < *until);
         self.departures.removed(incarnation, last_number);
         match kept_until_ms {
-            Some(until_ms) if is_staying => {
+            Some(until_ms) if is_active => {
                 self.lapsed_until_ms.entry(name.clone()).or_insert(until_ms);
             }
             _ => {
@@ -196,18 +201,19 @@
         }
     }
 
-    /// Until when an entry that is removed now may have lapsed only because the store was away.
-    /// Entries do not lapse within a short time without the store: what is removed then has
-    /// left, at the earliest when the list was last known.
+    /// Returns until when an entry that is removed now is kept, because it may have lapsed only
+    /// while the store was unavailable. Entries do not lapse in a short period without the store:
+    /// an endpoint whose entry is removed after one has stopped, at the earliest when the list
+    /// was last known.
     fn kept_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let gap = self.gap?;
-        let left_for_ms = self.leaving_ms.saturating_sub(ON_ITS_WAY_MS);
-        let until_ms = (gap.over_ms + COME_BACK_MS).min(now_ms + left_for_ms);
-        let is_short = gap.length_ms < left_for_ms;
-        Some(if is_short { until_ms.min(gap.known_ms + left_for_ms) } else { until_ms })
+        let last_outage = self.last_outage?;
+        let usable_ms = self.draining_ms.saturating_sub(IN_TRANSIT_MS);
+        let until_ms = (last_outage.ended_ms + REWRITE_MS).min(now_ms + usable_ms);
+        let is_short = last_outage.length_ms < usable_ms;
+        Some(if is_short { until_ms.min(last_outage.last_read_ms + usable_ms) } else { until_ms })
     }
 
-    /// Takes the whole list: what is not in it was removed.
+    /// Applies a whole list: endpoints that it does not contain were removed.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>, now_ms: u64) {
         let listed: BTreeSet<EndpointName> =
             endpoints.iter().map(|endpoint| endpoint.name.clone()).collect();
@@ -217,7 +223,7 @@
         self.retain_listed(&listed, now_ms);
     }
 
-    /// Takes that just these are listed: what is not was removed.
+    /// Removes all endpoints but those in `listed`.
     pub fn retain_listed(&mut self, listed: &BTreeSet<EndpointName>, now_ms: u64) {
         let missing: Vec<EndpointName> =
             self.endpoints.keys().filter(|name| !listed.contains(*name)).cloned().collect();
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Notes whether the store could be read.
+    /// Records whether the store could be read.
     pub fn record_read(&mut self, was_read: bool, now_ms: u64) {
         if !was_read {
             self.unread_since_ms.get_or_insert(now_ms);
@@ -234,12 +240,13 @@
         }
         if let Some(since_ms) = self.unread_since_ms.take() {
             let length_ms = now_ms.saturating_sub(since_ms);
-            self.gap = Some(Gap { known_ms: self.read_ms, length_ms, over_ms: now_ms });
+            self.last_outage =
+                Some(StoreOutage { last_read_ms: self.read_ms, length_ms, ended_ms: now_ms });
         }
         self.read_ms = now_ms;
     }
 
-    /// Drops entries that had time to come back and did not.
+    /// Drops lapsed entries that were not written again in time. Returns their names.
     pub fn drop_lapsed(&mut self, now_ms: u64) -> Vec<EndpointName> {
         let due: Vec<EndpointName> = self
             .lapsed_until_ms
@@ -254,23 +261,23 @@
         due
     }
 
-    /// Whether this start of an endpoint is listed.
+    /// Returns whether this incarnation is listed.
     pub fn contains(&self, incarnation: &Incarnation) -> bool {
         self.get(&incarnation.name)
             .is_some_and(|known| known.started_unix_ms == incarnation.started_unix_ms)
     }
 
-    /// Whether a start of an endpoint was ever seen leaving.
+    /// Returns whether an incarnation ever announced that it is draining.
     pub fn was_draining(&self, incarnation: &Incarnation) -> bool {
         self.departures.was_draining(incarnation)
     }
 
-    /// The endpoint with a name.
+    /// Returns the endpoint with a name.
     pub fn get(&self, name: &EndpointName) -> Option<&Endpoint> {
         self.endpoints.get(name).map(AsRef::as_ref)
     }
 
-    /// Whether a start of an endpoint is listed and not leaving.
+    /// Returns whether an incarnation is listed and not draining.
     pub fn is_usable(&self, incarnation: &Incarnation) -> bool {
         let known = self
             .get(&incarnation.name)
@@ -278,12 +285,12 @@
         known.is_some_and(|known| !known.is_draining)
     }
 
-    /// All endpoints that are listed.
+    /// Iterates over all listed endpoints.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values().map(AsRef::as_ref)
     }
 
-    /// The failure domains that have endpoints.
+    /// Returns the failure domains that have endpoints.
     pub fn domains(&self) -> BTreeSet<DomainName> {
         let mut domains = BTreeSet::new();
         for endpoint in self.iter() {
@@ -294,7 +301,7 @@
         domains
     }
 
-    /// The same as [`Self::usable`], to be kept.
+    /// Iterates over the same endpoints as [`Self::usable`], as shared pointers that can be kept.
     pub fn usable_shared<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -303,7 +310,7 @@
         listed.filter(move |endpoint| endpoint.service == *service && !endpoint.is_draining)
     }
 
-    /// Endpoints of a service that may get new work.
+    /// Iterates over the endpoints of a service that may receive new requests.
     pub fn usable<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Endpoint> {
         self.iter().filter(move |endpoint| endpoint.service == *service && !endpoint.is_draining)
     }
--- a/crates/trestle-dispatch/src/endpoint.rs
+++ b/crates/trestle-dispatch/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one live endpoint.
+//! Endpoints, their incarnations, and what an engine reports of itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,65 +6,67 @@
 };
 use trestle_core::names::{AdapterName, DomainName, EndpointName, ModelName, ServiceName};
 
-/// Models that an engine holds, with their adapters.
+/// Models in an engine's memory, each with its loaded adapters.
 pub type Held = BTreeMap<ModelName, BTreeSet<AdapterName>>;
 
-/// One start of an endpoint: a server that starts again may keep its name, and knows nothing of
-/// what it did before.
+/// Identifies one start of an endpoint. A server that restarts may keep its name, but has lost
+/// all state of its earlier incarnation.
 #[trestle_macros::key]
 pub struct Incarnation {
-    /// The endpoint.
+    /// The endpoint's name.
     pub name: EndpointName,
-    /// When it started, in Unix milliseconds on its own clock; 0 if it does not say. The clock
-    /// may be set back, so this only tells starts apart.
+    /// Start time in Unix milliseconds by the endpoint's own clock; 0 if the endpoint does not
+    /// report it. The clock may be set back, so this value only distinguishes incarnations and
+    /// does not order them.
     pub started_unix_ms: u64,
 }
 
-/// One live endpoint: one start of an engine, or of a server of a plain service.
+/// One live endpoint: one incarnation of an engine, or of a server of a plain service.
 #[trestle_macros::plain]
 pub struct Endpoint {
-    /// Its name, which no other server has.
+    /// Name of the endpoint; unique among servers.
     pub name: EndpointName,
-    /// When it started, in Unix milliseconds on its own clock; 0 if it does not say.
+    /// Start time in Unix milliseconds by the endpoint's own clock; 0 if it does not report it.
     pub started_unix_ms: u64,
-    /// The service it belongs to.
+    /// The service to which the endpoint belongs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the endpoint.
     pub domain: DomainName,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get no new work.
+    /// Whether the endpoint is draining and must not receive new requests.
     pub is_draining: bool,
-    /// Number of the message by which it entered this; later ones are higher.
+    /// Number of the message with which the endpoint wrote this entry; later messages have higher
+    /// numbers.
     pub entry_number: u64,
-    /// Models that it holds, with their adapters.
+    /// Models in the endpoint's memory, with their adapters.
     pub held: Held,
-    /// Models with a copy in the memory of its host, which load fastest.
+    /// Models with a copy in the memory of the endpoint's host; these load fastest.
     pub in_memory: BTreeSet<ModelName>,
-    /// Models with a copy on its disk.
+    /// Models with a copy on the endpoint's disk.
     pub on_disk: BTreeSet<ModelName>,
 }
 
 impl Endpoint {
-    /// This start of it.
+    /// Returns the incarnation that this entry describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { name: self.name.clone(), started_unix_ms: self.started_unix_ms }
     }
 
-    /// Whether it says when it started.
+    /// Returns whether the endpoint reports its start time.
     pub fn has_start_time(&self) -> bool {
         self.started_unix_ms != 0
     }
 
-    /// Whether two identities differ in nothing but the numbers of their messages.
+    /// Returns whether two entries are equal apart from their message numbers.
     pub fn differs_only_in_number(&self, other: &Self) -> bool {
         let renumbered = Self { entry_number: other.entry_number, ..self.clone() };
         renumbered == *other
     }
 
-    /// The same without what it holds and has copies of.
+    /// Returns a copy of the entry without loaded models and local copies.
     pub fn identity(&self) -> Self {
         Self {
             name: self.name.clone(),
@@ -82,25 +84,27 @@
     }
 }
 
-/// What an engine says of itself when it is asked; some hundred ms old.
+/// The answer of an engine to a status probe; some hundred milliseconds old when it is used.
 #[trestle_macros::plain]
 pub struct EngineReport {
-    /// When the engine started, by its own clock; 0 if it does not say.
+    /// Start time of the engine in Unix milliseconds by its own clock; 0 if it does not report
+    /// it.
     pub started_unix_ms: u64,
-    /// Models that it holds, with their adapters.
+    /// Models in the engine's memory, with their adapters.
     pub held: Held,
-    /// Whether an order is being carried out.
+    /// Whether the engine is executing an order.
     pub is_busy: bool,
-    /// Orders that it has accepted since its start.
+    /// Number of orders that the engine has accepted since it started.
     pub order_count: u64,
-    /// Requests that wait.
+    /// Number of requests that wait at the engine.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of requests that run at the engine.
     pub running: u32,
 }
 
 impl EngineReport {
-    /// Whether it is of this start of an engine, as far as both say when that was.
+    /// Returns whether the report is from this incarnation of an engine, as far as both have
+    /// start times.
     pub fn is_from(&self, endpoint: &Endpoint) -> bool {
         self.started_unix_ms == endpoint.started_unix_ms
             || self.started_unix_ms == 0
--- a/crates/trestle-dispatch/src/listing.rs
+++ b/crates/trestle-dispatch/src/listing.rs
@@ -1,105 +1,106 @@
-//! The list of endpoints as the store has it, whichever way it was heard of.
+//! The list of endpoints by versions of the store, whichever source it comes from.
 //!
-//! A daemon reads the list itself, or a leader passes it on, and the two overlap whenever a
-//! leader is lost or found. Versions are the store's own, so both go into one copy here, and
-//! what is said of an endpoint counts only if it is newer than what is known of it. With a copy
-//! for either way, an answer of the store that came after newer news of a leader brought back
-//! what was gone, and a daemon then sent half of its requests there for as long as that leader
-//! was heard.
+//! A daemon reads the list from the store, or a leader relays it, and both overlap whenever a
+//! leader is lost or found. Versions are assigned by the store, so updates of both sources go
+//! into one copy, and an update of an entry counts only if it is newer than what is known. With a
+//! separate copy for each source, an answer of the store that arrived after a newer update of a
+//! leader restored removed endpoints, and the daemon then sent half of its requests there for as
+//! long as it followed that leader.
 
 use crate::endpoint::Endpoint;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who says something of the list.
+/// The source of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The store, with all that entries say.
+    /// The store, with everything that entries contain.
     Store,
-    /// A leader, without what endpoints hold.
+    /// A leader, which relays entries without what endpoints hold.
     Leader,
 }
 
 /// One entry of the list.
 #[trestle_macros::plain]
 pub struct ListedEntry {
-    /// Its key.
+    /// The entry's key in the store.
     pub key: String,
-    /// What it says.
+    /// The endpoint that the entry describes.
     pub endpoint: Endpoint,
-    /// The version that wrote it, or since which it says so.
+    /// The store's version that wrote the entry, or since which it has had this content.
     pub version: u64,
 }
 
-/// News of the list.
+/// An update of the list.
 #[trestle_macros::plain]
 pub struct ListUpdate {
-    /// Whether what is not named in it does not exist.
+    /// Whether the update is a whole list: entries that it does not contain do not exist.
     pub is_whole: bool,
     /// Entries that were written.
     pub written: Vec<ListedEntry>,
-    /// Entries that were removed, with the versions of their removal.
+    /// Keys of entries that were removed, with the versions of their removal.
     pub removed: Vec<(String, u64)>,
-    /// The version that it leads up to.
+    /// The version that the list has after the update.
     pub version: u64,
 }
 
 /// The list of endpoints.
 #[derive(Debug, Default)]
 pub struct Listing {
-    entries: BTreeMap<String, Known>,
-    /// Removals since the newest whole list, with their versions.
+    entries: BTreeMap<String, KnownEntry>,
+    /// Keys that were removed since the newest whole list, with the versions of their removal.
     removed: BTreeMap<String, u64>,
-    /// The version of the newest whole list; what it does not name was gone by then.
+    /// The version of the newest whole list; entries that it does not contain did not exist then.
     complete_at: u64,
     version: u64,
 }
 
-/// One entry, as it is passed on.
+/// One entry, as it is relayed.
 #[derive(Debug)]
-struct Known {
+struct KnownEntry {
     identity: Endpoint,
     /// The version of the entry.
     at: u64,
-    /// The version since which it has had this identity.
+    /// The version since which the relayed part of the entry is unchanged.
     identity_at: u64,
 }
 
 impl Listing {
-    /// The version that the list reflects; 0 if nothing was heard of it yet.
+    /// Returns the version that the list reflects; 0 if nothing was received yet.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes news, and returns what of it is new here. Of a whole list that names what is gone by
-    /// its removal.
-    pub fn apply(&mut self, mut news: ListUpdate, source: Source) -> ListUpdate {
+    /// Applies an update. Returns the part of it that was new here; for a whole list this names
+    /// the entries that are gone as removed.
+    pub fn apply(&mut self, mut update: ListUpdate, source: Source) -> ListUpdate {
         if source == Source::Store {
-            self.pass_over_foreign(&mut news);
+            self.remove_foreign(&mut update);
         }
-        // The gaps of a list that is older than what is known say nothing.
-        let is_whole = news.is_whole && news.version >= self.version;
-        let names = news.written.iter().filter(|_| is_whole).map(|entry| entry.key.clone());
+        // Missing entries mean nothing in a whole list that is older than this one.
+        let is_whole = update.is_whole && update.version >= self.version;
+        let names = update.written.iter().filter(|_| is_whole).map(|entry| entry.key.clone());
         let named: BTreeSet<String> = names.collect();
-        let written = news.written.into_iter().filter(|entry| {
+        let written = update.written.into_iter().filter(|entry| {
             let known_at = self.known_at(&entry.key, is_whole);
-            // Of what a leader has passed on, the entry itself says more.
+            // The store's entry says more than a leader's copy of the same version.
             entry.version > known_at || (entry.version == known_at && source == Source::Store)
         });
         let written: Vec<ListedEntry> = written.collect();
-        let mut removed = if is_whole { self.complete(&named, news.version) } else { Vec::new() };
+        let mut removed =
+            if is_whole { self.set_complete(&named, update.version) } else { Vec::new() };
         written.iter().for_each(|entry| self.write(entry));
-        for (key, at) in news.removed {
+        for (key, at) in update.removed {
             if at > self.known_at(&key, false) {
                 let was_listed = self.entries.remove(&key).is_some();
                 self.removed.insert(key.clone(), at);
                 removed.extend(was_listed.then_some((key, at)));
             }
         }
-        self.version = self.version.max(news.version);
-        ListUpdate { is_whole, written, removed, version: news.version }
+        self.version = self.version.max(update.version);
+        ListUpdate { is_whole, written, removed, version: update.version }
     }
 
-    /// What has changed since a version.
+    /// Returns the changes since a version.
     pub fn changes_since(&self, version: u64) -> ListUpdate {
         let is_whole = version < self.complete_at;
         let written = self.entries.iter().filter(|(_, of)| is_whole || of.identity_at > version);
@@ -117,30 +118,31 @@
         }
     }
 
-    /// Notes that the entry of a key that was taken names no endpoint to use.
+    /// Records that an accepted entry, written at `version`, names no usable endpoint.
     pub fn mark_unusable(&mut self, key: &str, version: u64) {
         self.entries.remove(key);
         self.removed.insert(key.to_owned(), version);
     }
 
-    /// Notes that the entry of a key that stands names no endpoint to use.
+    /// Records that the present entry of a key names no usable endpoint.
     pub fn mark_entry_unusable(&mut self, key: &str) {
         if let Some(at) = self.entries.get(key).map(|entry| entry.at) {
             self.mark_unusable(key, at);
         }
     }
 
-    /// The version as of which a key is known. One that is not listed has been gone at least
-    /// since the newest whole list, unless a newer one names it.
-    fn known_at(&self, key: &str, is_in_newest: bool) -> u64 {
+    /// Returns the version as of which the state of a key is known. A key that is not listed has
+    /// been gone at least since the newest whole list, unless a newer whole list contains it.
+    fn known_at(&self, key: &str, is_in_whole_list: bool) -> u64 {
         let removed_at = self.removed.get(key).copied();
-        let gone_at = removed_at.unwrap_or(if is_in_newest { 0 } else { self.complete_at });
+        let gone_at = removed_at.unwrap_or(if is_in_whole_list { 0 } else { self.complete_at });
         self.entries.get(key).map_or(gone_at, |entry| entry.at)
     }
 
-    /// Takes that just these entries are in the newest whole list; returns those that are gone.
-    fn complete(&mut self, named: &BTreeSet<String>, version: u64) -> Vec<(String, u64)> {
-        let is_gone = |key: &String, entry: &mut Known| entry.at <= version && !named.contains(key);
+    /// Makes `named` the content of the newest whole list. Returns the removed entries.
+    fn set_complete(&mut self, named: &BTreeSet<String>, version: u64) -> Vec<(String, u64)> {
+        let is_gone =
+            |key: &String, entry: &mut KnownEntry| entry.at <= version && !named.contains(key);
         let gone = self.entries.extract_if(.., is_gone).map(|(key, _)| (key, version)).collect();
         self.removed.retain(|_, at| *at > version);
         self.complete_at = version;
@@ -155,16 +157,18 @@
             .filter(|known| known.identity.differs_only_in_number(&identity));
         let identity_at = before.map_or(at, |known| known.identity_at);
         self.removed.remove(&entry.key);
-        self.entries.insert(entry.key.clone(), Known { identity, at, identity_at });
+        self.entries.insert(entry.key.clone(), KnownEntry { identity, at, identity_at });
     }
 
-    /// Takes an entry that does not say when its endpoint started, where the one before did, for
-    /// another writer's: it names nothing to use.
-    fn pass_over_foreign(&self, news: &mut ListUpdate) {
-        let told = |key: &str| self.entries.get(key).is_some_and(|k| k.identity.has_start_time());
-        let is_foreign =
-            |entry: &mut ListedEntry| !entry.endpoint.has_start_time() && told(&entry.key);
-        let foreign = news.written.extract_if(.., is_foreign);
-        news.removed.extend(foreign.map(|entry| (entry.key, entry.version)));
+    /// Turns entries of other writers into removals: such an entry has no start time although the
+    /// previous entry of the key has one, and names no usable endpoint.
+    fn remove_foreign(&self, update: &mut ListUpdate) {
+        let had_start_time =
+            |key: &str| self.entries.get(key).is_some_and(|k| k.identity.has_start_time());
+        let is_foreign = |entry: &mut ListedEntry| {
+            !entry.endpoint.has_start_time() && had_start_time(&entry.key)
+        };
+        let foreign = update.written.extract_if(.., is_foreign);
+        update.removed.extend(foreign.map(|entry| (entry.key, entry.version)));
     }
 }
--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -1,4 +1,4 @@
-//! Everything that one daemon believes, as decisions look at it.
+//! The state that one daemon knows, as its decisions read it. It may be stale.
 
 use crate::{
     backpressure::{Answer, Backpressure, SignalChange},
@@ -25,30 +25,30 @@
 };
 use trestle_core::names::{AdapterName, DomainName, EndpointName, ModelName, ServiceName};
 
-/// Longest time without a leader that orders: 2.3 s until a lease has run out, and the quiet
-/// time of 3.3 s after the last order of the one before.
+/// Longest time in which no leader gives orders: a lease runs out after 2.3 s, and the next
+/// leader waits 3.3 s after the last order of its predecessor.
 const LEADERLESS_MS: u64 = 5_600;
-/// Time in which a new leader has loaded what somebody waits for, from a copy on a disk.
+/// Time in which a new leader loads a requested model from a copy on a disk.
 const FIRST_LOAD_MS: u64 = 1_000;
-/// Time for which the largest number of daemons that a leader has counted is believed: a new
-/// leader, or one that has lost another, knows of too few for some seconds.
-const COUNT_BELIEVED_MS: u64 = 30_000;
+/// Time for which the largest number of daemons that a leader counted is used. A new leader, or
+/// one that lost contact with another leader, counts too few daemons for some seconds.
+const COUNT_VALID_MS: u64 = 30_000;
 
-/// By which way the list of endpoints was last heard of.
+/// The source of the most recent update of the endpoint list.
 #[trestle_macros::plain]
 #[derive(Copy, Default)]
 pub enum ListSource {
-    /// It was never heard of.
+    /// No list was received yet.
     #[default]
     Nothing,
-    /// This daemon has read the store.
+    /// This daemon read the store.
     Store,
-    /// A leader has passed it on.
+    /// A leader relayed the list.
     Leader,
 }
 
 impl ListSource {
-    /// Its name in logs.
+    /// Returns the name of the source in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Nothing => "nothing",
@@ -58,75 +58,77 @@
     }
 }
 
-/// How the list of endpoints was last heard of.
+/// The source and age of the endpoint list.
 #[trestle_macros::plain]
 #[derive(Copy, Default)]
 pub struct ListOrigin {
-    /// By which way.
+    /// The source of the list.
     pub source: ListSource,
-    /// The moment as of which it was known, on the daemon's clock.
+    /// Time at which the list was known to be current, in milliseconds on the daemon's clock.
     pub known_ms: u64,
 }
 
-/// Everything that one daemon believes.
+/// The state that one daemon knows.
 #[derive(Debug)]
 pub struct LocalView {
-    /// The configuration in force.
+    /// The configuration in force; `None` until one was received.
     pub catalog: Option<Arc<Catalog>>,
     /// Live endpoints.
     pub directory: Directory,
-    /// The list of endpoints as the store has it, as far as this daemon has heard.
+    /// The endpoint list by versions of the store, as far as this daemon has received it.
     pub listing: Listing,
-    /// The last configurations as the store has them.
+    /// The texts of the most recent configurations.
     pub config_texts: ConfigTexts,
-    /// Whether the list of endpoints was ever read.
+    /// Whether a whole endpoint list was received at least once.
     pub is_list_read: bool,
-    /// Whether it was tried to read what leaders keep of endpoints that left.
+    /// Whether this daemon has tried to read the departed endpoints that leaders keep in the
+    /// lease rows.
     pub are_leases_read: bool,
-    /// How the list of endpoints was last heard of.
+    /// Source and age of the endpoint list.
     pub list_origin: ListOrigin,
-    /// What the leader says, by service.
+    /// Replicas as the leader reports them, by service.
     pub replicas: BTreeMap<ServiceName, ReplicaView>,
-    /// When it said so.
+    /// When the leader last reported replicas, in milliseconds on the daemon's clock.
     pub received_ms: u64,
-    /// Whether there is a leader that answers.
+    /// Whether a leader answers.
     pub has_leader: bool,
-    /// When the last one fell silent.
+    /// When contact with the last leader was lost; `None` if it never was.
     pub leader_lost_ms: Option<u64>,
-    /// What decides.
+    /// The policy that decisions follow.
     pub policy: Policy,
-    /// How endpoints behaved.
+    /// Outcomes of requests, by endpoint.
     pub records: Records,
-    /// What they ask for in their answers.
+    /// Limits and backoffs that endpoints announced in their answers.
     pub backpressure: Backpressure,
-    /// Requests whose connection broke at endpoints that may have ended.
+    /// Requests without an answer, by incarnation of the endpoint.
     pub unresolved_requests: UnresolvedRequests,
-    /// Requests under which endpoints ended.
+    /// Requests under which endpoints crashed.
     pub crashes: Crashes,
-    /// Shares of the retry budgets.
+    /// This daemon's share of the retry budgets, by service.
     pub retries: BTreeMap<ServiceName, RetryShare>,
-    /// What this daemon will tell the leader, by service.
+    /// Demand of this daemon's callers that is reported to the leader, by service.
     pub local_demand: BTreeMap<ServiceName, LocalDemand>,
-    /// Daemons that share budgets; 0 until a leader has counted them.
+    /// Number of daemons that share budgets; 0 until a leader has counted them.
     pub daemons: usize,
-    /// When so many were last counted.
+    /// When `daemons` was last set or confirmed.
     daemons_ms: u64,
-    /// Daemons that ask the same leader.
+    /// Number of daemons that sync with the same leader.
     pub leader_clients: usize,
     /// The failure domain of this daemon.
     pub domain: DomainName,
-    /// What bounds further sends.
+    /// Bounds on retries.
     pub retry_bounds: RetryBounds,
-    /// How far teams may exceed their limits.
+    /// Bounds on how far teams may exceed their limits.
     pub quota_bounds: QuotaBounds,
 }
 
 impl LocalView {
-    /// Nothing is believed yet. Endpoints that have left may get requests for `leaving_ms`.
-    pub fn new(domain: DomainName, leaving_ms: u64, retry_bounds: RetryBounds) -> Self {
+    /// Returns a view that knows nothing yet. Requests may be sent to an endpoint for
+    /// `draining_ms` after it announced that it drains.
+    pub fn new(domain: DomainName, draining_ms: u64, retry_bounds: RetryBounds) -> Self {
         Self {
             catalog: None,
-            directory: Directory::new(leaving_ms),
+            directory: Directory::new(draining_ms),
             listing: Listing::default(),
             config_texts: ConfigTexts::default(),
             is_list_read: false,
@@ -152,36 +154,36 @@
         }
     }
 
-    /// What callers ask of a service's engines.
+    /// Returns the demand for a service, which is created if there is none.
     pub fn local_demand_for(&mut self, service: &ServiceName) -> &mut LocalDemand {
         self.local_demand.entry(service.clone()).or_default()
     }
 
-    /// Takes a further send for a service, if the budget allows it.
+    /// Spends one retry of a service's budget. Returns whether the budget allowed it.
     pub fn spend_retry(&mut self, service: &ServiceName, now_ms: u64) -> bool {
         let share = self.retries.entry(service.clone()).or_default();
         share.take(now_ms, &self.retry_bounds, self.daemons)
     }
 
-    /// Whether the budget allows a further send for a service.
+    /// Returns whether a service's budget allows a retry.
     pub fn has_retry(&mut self, service: &ServiceName, now_ms: u64) -> bool {
         let share = self.retries.entry(service.clone()).or_default();
         share.has_room(now_ms, &self.retry_bounds, self.daemons)
     }
 
-    /// Notes a request of a caller to a service.
+    /// Records that a caller's request for a service arrived.
     pub fn request_arrived(&mut self, service: &ServiceName, now_ms: u64) {
         self.retries.entry(service.clone()).or_default().requested(now_ms);
     }
 
-    /// Notes a request of a caller for a model.
+    /// Records that a caller's request for a model arrived.
     pub fn model_request_arrived(&mut self, service: &ServiceName, model: &ModelName, now_ms: u64) {
         let asked = self.local_demand_for(service);
         *asked.arrivals.entry(model.clone()).or_default() += 1;
         asked.rates.arrived(model, 1, now_ms);
     }
 
-    /// Notes that a request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     pub fn request_started(
         &mut self,
         endpoint: &Endpoint,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Notes that a request to an endpoint has ended, however it ended.
+    /// Records that a request to an endpoint ended, with any outcome.
     pub fn request_ended(
         &mut self,
         endpoint: &Endpoint,
@@ -207,19 +209,20 @@
         }
     }
 
-    /// Requests of all daemons that run at an endpoint: what the leader has counted, and what
-    /// has changed here since this daemon told it.
+    /// Returns the number of requests of all daemons that run at an endpoint: the leader's count,
+    /// corrected by what changed at this daemon since its last report.
     pub fn running(&self, endpoint: &Endpoint) -> u32 {
         let own = self.records.of(&endpoint.name).in_flight;
         let view = self.replicas.get(&endpoint.service);
         let counted = view.map_or(0, |view| view.running(&endpoint.name));
         let asked = self.local_demand.get(&endpoint.service);
-        let told = asked.and_then(|asked| asked.reported_running.get(&endpoint.name));
-        (counted + own).saturating_sub(told.copied().unwrap_or_default()).max(own)
+        let reported = asked.and_then(|asked| asked.reported_running.get(&endpoint.name));
+        (counted + own).saturating_sub(reported.copied().unwrap_or_default()).max(own)
     }
 
-    /// Takes what the leader says of a service, and the number of the last digest that its
-    /// plan has looked at; returns whether that is news for requests that wait.
+    /// Stores what the leader reports about a service. `planned` is the number of this daemon's
+    /// last demand report that the leader's plan includes. Returns whether the update may affect
+    /// requests that wait.
     pub fn update_replicas(
         &mut self,
         service: ServiceName,
@@ -227,7 +230,7 @@
         planned: u64,
         now_ms: u64,
     ) -> bool {
-        if view.daemons >= self.daemons || now_ms > self.daemons_ms + COUNT_BELIEVED_MS {
+        if view.daemons >= self.daemons || now_ms > self.daemons_ms + COUNT_VALID_MS {
             self.daemons = view.daemons;
             self.daemons_ms = now_ms;
         }
@@ -236,13 +239,13 @@
         let asked = self.local_demand_for(&service);
         let is_planned = planned > asked.last_planned;
         asked.last_planned = planned;
-        let is_answer = is_planned && !asked.waiting.is_empty();
-        let is_news = self.replicas.get(&service) != Some(&view);
+        let answers_waiting = is_planned && !asked.waiting.is_empty();
+        let is_changed = self.replicas.get(&service) != Some(&view);
         self.replicas.insert(service, view);
-        is_news || is_answer
+        is_changed || answers_waiting
     }
 
-    /// Notes whether a leader answers.
+    /// Records whether a leader answers.
     pub fn record_leader(&mut self, has_leader: bool, now_ms: u64) {
         if self.has_leader && !has_leader {
             self.leader_lost_ms = Some(now_ms);
@@ -250,15 +253,15 @@
         self.has_leader = has_leader;
     }
 
-    /// Time until a leader should have loaded something, while there is none; `None` if one
-    /// should long be there, or there never was one.
+    /// While there is no leader, returns the time until a new one should have loaded a model.
+    /// Returns `None` if a leader is overdue, or if there never was one.
     pub fn leader_recovery_ms(&self, now_ms: u64) -> Option<u64> {
-        let back_ms = self.leader_lost_ms? + LEADERLESS_MS;
-        let is_overdue = now_ms > back_ms + LEADERLESS_MS;
-        (!is_overdue).then(|| back_ms.saturating_sub(now_ms) + FIRST_LOAD_MS)
+        let expected_ms = self.leader_lost_ms? + LEADERLESS_MS;
+        let is_overdue = now_ms > expected_ms + LEADERLESS_MS;
+        (!is_overdue).then(|| expected_ms.saturating_sub(now_ms) + FIRST_LOAD_MS)
     }
 
-    /// Time until something that is waited for will be ready, as far as the leader has said.
+    /// Returns the time until a model or adapter is ready, as far as the leader has reported it.
     pub fn ready_in_ms(
         &self,
         service: &ServiceName,
@@ -269,8 +272,9 @@
         Some(loadable::aged_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
     }
 
-    /// Forgets what leaders said, some time after the last was heard. Entries that were passed
-    /// on tell nothing of what engines hold, so what was last heard of that takes their place.
+    /// Drops what leaders reported, some time after the last report. Relayed list entries do not
+    /// say what engines hold, so the last reported contents take their place unless entries were
+    /// read from the store.
     pub fn clear_replicas(&mut self, has_read_entries: bool) {
         for view in std::mem::take(&mut self.replicas).into_values() {
             for (name, note) in view.engines.into_iter().filter(|_| !has_read_entries) {
@@ -279,25 +283,25 @@
         }
     }
 
-    /// Takes an entry that is new to the list; returns whether it names an endpoint to use.
+    /// Applies a changed entry of the list. Returns whether it names a usable endpoint.
     pub fn apply_entry(&mut self, entry: ListedEntry, source: Source) -> bool {
         let ListedEntry { key, endpoint, version } = entry;
         let known = self.directory.get(&endpoint.name);
         if known.is_some_and(|known| known.started_unix_ms != endpoint.started_unix_ms) {
             self.records.restarted(&endpoint.name);
         }
-        let is_taken = match source {
+        let is_usable = match source {
             Source::Store => self.directory.apply_written(endpoint),
             Source::Leader => self.directory.apply_listed(endpoint),
         };
-        if !is_taken {
+        if !is_usable {
             self.listing.mark_unusable(&key, version);
         }
-        is_taken
+        is_usable
     }
 
-    /// Takes what another daemon knows of endpoints that left or are gone; returns those that are
-    /// listed no longer by that.
+    /// Applies what another daemon knows about draining and departed endpoints. Returns the
+    /// endpoints that are therefore no longer listed.
     pub fn apply_departures(&mut self, departures: &[Departure]) -> Vec<EndpointName> {
         let dropped =
             departures.iter().filter(|departure| self.directory.apply_departure(departure));
@@ -307,38 +311,39 @@
         dropped
     }
 
-    /// Takes what a life of an endpoint says in an answer; returns what is new of it.
+    /// Applies the signals in an answer of an endpoint. Returns what changed.
     pub fn apply_answer(
         &mut self,
         incarnation: &Incarnation,
         answer: Answer<'_>,
         now_ms: u64,
     ) -> Vec<SignalChange> {
-        let mut heard = self.backpressure.apply_answer(incarnation, answer, now_ms);
+        let mut changes = self.backpressure.apply_answer(incarnation, answer, now_ms);
         if answer.signals.draining.value().is_some() && self.directory.mark_draining(incarnation) {
-            heard.push(SignalChange::Draining);
+            changes.push(SignalChange::Draining);
         }
-        heard
+        changes
     }
 
-    /// What has changed in the list of endpoints since a version, as this daemon believes it: one
-    /// that it has seen leaving is no more usable to a daemon that has not.
+    /// Returns the changes of the endpoint list since a version. Endpoints that this daemon knows
+    /// to be draining are marked as draining, so that the receiver does not use them either.
     pub fn list_since(&self, version: u64) -> ListUpdate {
-        let mut news = self.listing.changes_since(version);
-        for entry in &mut news.written {
+        let mut update = self.listing.changes_since(version);
+        for entry in &mut update.written {
             entry.endpoint.is_draining |=
                 self.directory.was_draining(&entry.endpoint.incarnation());
         }
-        news
+        update
     }
 
-    /// Notes that a request leaves for an endpoint, which may end under it.
+    /// Records that a request is being sent to an endpoint, which may crash under it.
     pub fn track_request(&mut self, endpoint: &Endpoint, request: Fingerprint) {
         self.unresolved_requests.sent(&endpoint.incarnation(), endpoint.address, request);
     }
 
-    /// Notes that the connection of a request to an endpoint broke. One that is leaving, or gone
-    /// from the list, ends whatever it runs.
+    /// Records that the connection of a request to an endpoint was lost. Returns `None` if the
+    /// endpoint was draining or is no longer listed: such an endpoint aborts its running requests
+    /// when it stops.
     pub fn connection_lost(
         &mut self,
         endpoint: &Endpoint,
@@ -346,19 +351,19 @@
         now_ms: u64,
     ) -> Option<ConnectionLoss> {
         let incarnation = endpoint.incarnation();
-        if self.ends_as_planned(&incarnation) {
+        if self.is_expected_to_end(&incarnation) {
             return None;
         }
-        let has_ended = !self.directory.contains(&incarnation);
-        Some(if has_ended {
+        let is_terminated = !self.directory.contains(&incarnation);
+        Some(if is_terminated {
             ConnectionLoss::Terminated
         } else {
             self.unresolved_requests.connection_lost(&incarnation, request, now_ms)
         })
     }
 
-    /// Notes that nobody waits any more for a request that runs at an endpoint; returns whether
-    /// that is known to have ended, other than as planned.
+    /// Records that a request at an endpoint was abandoned, because no caller waits for it.
+    /// Returns whether that incarnation is known to have terminated without having announced it.
     pub fn request_abandoned(
         &mut self,
         endpoint: &Endpoint,
@@ -366,7 +371,7 @@
         now_ms: u64,
     ) -> bool {
         let incarnation = endpoint.incarnation();
-        if self.ends_as_planned(&incarnation) {
+        if self.is_expected_to_end(&incarnation) {
             self.unresolved_requests.resolved(&incarnation, request);
             return false;
         }
@@ -374,7 +379,8 @@
             || !self.directory.contains(&incarnation)
     }
 
-    /// Takes that a life of an endpoint has ended; returns the requests that are to be blamed.
+    /// Records that an incarnation of an endpoint terminated. Returns the requests that may have
+    /// caused it.
     pub fn incarnation_terminated(
         &mut self,
         incarnation: &Incarnation,
@@ -383,8 +389,9 @@
     ) -> BTreeSet<Fingerprint> {
         let is_planned = match evidence {
             Evidence::Unlisted => self.directory.was_draining(incarnation),
-            // It left without a word and has ended since, or it was found before.
-            _ => self.ends_as_planned(incarnation),
+            // It stopped without announcing it and has terminated since, or its end was found
+            // earlier.
+            _ => self.is_expected_to_end(incarnation),
         };
         match is_planned {
             true => BTreeSet::new(),
@@ -392,56 +399,61 @@
         }
     }
 
-    /// Endpoints that have ended by what the list says, other than as planned, while requests
-    /// were open there.
+    /// Returns the incarnations with open requests that terminated according to the list, without
+    /// having announced it.
     pub fn terminated_by_list(&self) -> Vec<(Incarnation, Evidence)> {
-        let gone =
+        let unlisted =
             self.unresolved_requests.unlisted(|incarnation| self.directory.contains(incarnation));
-        let gone = gone.into_iter().filter(|incarnation| !self.directory.was_draining(incarnation));
-        gone.map(|incarnation| {
-            let is_unlisted = self.directory.get(&incarnation.name).is_none();
-            let evidence = if is_unlisted { Evidence::Unlisted } else { Evidence::StartedAgain };
-            (incarnation, evidence)
-        })
-        .collect()
+        let unlisted =
+            unlisted.into_iter().filter(|incarnation| !self.directory.was_draining(incarnation));
+        unlisted
+            .map(|incarnation| {
+                let is_unlisted = self.directory.get(&incarnation.name).is_none();
+                let evidence =
+                    if is_unlisted { Evidence::Unlisted } else { Evidence::StartedAgain };
+                (incarnation, evidence)
+            })
+            .collect()
     }
 
-    /// Endpoints that have ended, other than as planned, since another one has come to their
-    /// address.
+    /// Returns the incarnations that terminated, without having announced it, because another
+    /// endpoint now has their address.
     pub fn replaced_by(&self, endpoint: &Endpoint) -> Vec<Incarnation> {
         let mut replaced = self.unresolved_requests.others_at(endpoint.address, &endpoint.name);
         replaced.retain(|incarnation| !self.directory.was_draining(incarnation));
         replaced
     }
 
-    /// Whether the end of a life is no surprise: it has said that it leaves, or its entry is gone.
-    fn ends_as_planned(&self, incarnation: &Incarnation) -> bool {
+    /// Returns whether the termination of an incarnation is expected: it announced draining, or
+    /// its entry is gone.
+    fn is_expected_to_end(&self, incarnation: &Incarnation) -> bool {
         self.directory.get(&incarnation.name).is_none() || self.directory.was_draining(incarnation)
     }
 
-    /// Notes that a request had a whole answer; returns how many endpoints had ended under it, if
-    /// it was tried or refused until now.
+    /// Records that a request was answered completely. Returns the number of endpoints that had
+    /// crashed under it, if the request was restricted until now.
     pub fn served(&mut self, request: Option<Fingerprint>) -> Option<usize> {
         let request = request?;
         self.unresolved_requests.served(request);
         self.crashes.served(request)
     }
 
-    /// For how long a request is refused because endpoints ended under it.
-    pub fn refused_for_ms(&self, request: Option<Fingerprint>, now_ms: u64) -> Option<u64> {
-        self.crashes.refused_for_ms(request?, now_ms)
+    /// Returns the remaining time for which a request is rejected because endpoints crashed under
+    /// it; `None` if it is not rejected.
+    pub fn rejected_for_ms(&self, request: Option<Fingerprint>, now_ms: u64) -> Option<u64> {
+        self.crashes.rejected_for_ms(request?, now_ms)
     }
 
-    /// Whether one attempt of a request may run at a time: endpoints have ended under it, or it
-    /// was broken off at some of which that is not known.
+    /// Returns whether only one attempt of a request may run at a time, because of the endpoints
+    /// that crashed under it and of those for which that is unresolved.
     pub fn must_run_serially(&self, request: Option<Fingerprint>, now_ms: u64) -> bool {
         request.is_some_and(|request| {
-            let in_doubt = self.unresolved_requests.unresolved_incarnations(request, now_ms);
-            self.crashes.must_run_serially_with_unresolved(request, in_doubt)
+            let unresolved = self.unresolved_requests.unresolved_incarnations(request, now_ms);
+            self.crashes.must_run_serially_with_unresolved(request, unresolved)
         })
     }
 
-    /// Forgets endpoints that are no longer listed.
+    /// Drops the records of endpoints that are no longer listed.
     pub fn forget_unlisted(&mut self) {
         let live: BTreeSet<EndpointName> =
             self.directory.iter().map(|endpoint| endpoint.name.clone()).collect();
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -81,7 +81,7 @@
     now_ms: u64,
 ) -> Selection {
     // Whoever sends it ends an endpoint, with all that runs there.
-    if let Some(retry_after_ms) = local_view.refused_for_ms(asking.head.fingerprint, now_ms) {
+    if let Some(retry_after_ms) = local_view.rejected_for_ms(asking.head.fingerprint, now_ms) {
         return Selection::Refuse { retry_after_ms, reason: Some(Reason::EndsEndpoints) };
     }
     if let Some(endpoint) = choose_allowed(local_view, asking, sends, lot, now_ms) {
--- a/crates/trestle-dispatch/src/signals.rs
+++ b/crates/trestle-dispatch/src/signals.rs
@@ -1,35 +1,35 @@
-//! What an endpoint says of itself in the head of an answer.
+//! What an endpoint reports about itself in the headers of an answer.
 
-/// Most of a value that cannot be read which logs show, in characters.
-const MOST_SHOWN: usize = 40;
+/// Number of characters of an unreadable value that logs show.
+const MAX_SHOWN_CHARS: usize = 40;
 
-/// One thing that an answer may say.
+/// The value of one signal in the headers of an answer.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub enum HeaderField<T> {
-    /// It does not say it.
+    /// The headers do not contain it.
     #[default]
     Absent,
-    /// It says this.
+    /// The headers contain this value.
     Value(T),
-    /// It says something that cannot be read, which begins like this.
+    /// The headers contain an unreadable value, which begins with this text.
     Unreadable(String),
 }
 
-/// What an endpoint says of itself in the head of an answer.
+/// The signals in the headers of an answer.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct EndpointSignals {
-    /// Requests that it takes in 1,000 s, from all daemons together.
+    /// Requests per 1,000 s that the endpoint accepts from all daemons together.
     pub limit_per_ks: HeaderField<u64>,
-    /// That it leaves.
+    /// Whether the endpoint is draining.
     pub draining: HeaderField<()>,
-    /// Time for which it wants nothing from this daemon, where it turned the request away.
+    /// Time for which the endpoint accepts no requests from this daemon, if it rejected this one.
     pub backoff_ms: HeaderField<u64>,
 }
 
 impl<T> HeaderField<T> {
-    /// What is said, if it can be read.
+    /// Returns the value, if there is a readable one.
     pub fn value(&self) -> Option<&T> {
         match self {
             Self::Value(value) => Some(value),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// What is said that cannot be read.
+    /// Returns an unreadable value with the beginning of its text.
     pub fn unreadable(text: &str) -> Self {
-        Self::Unreadable(text.chars().take(MOST_SHOWN).collect())
+        Self::Unreadable(text.chars().take(MAX_SHOWN_CHARS).collect())
     }
 }
--- a/crates/trestle-dispatch/src/unresolved_requests.rs
+++ b/crates/trestle-dispatch/src/unresolved_requests.rs
@@ -1,15 +1,15 @@
-//! Requests that may end the endpoints at which they are.
+//! Requests without an answer, by the incarnations of endpoints to which they were sent.
 //!
-//! The load that this answers: a request that ends its endpoint while connections are reset, links
-//! are cut, and callers leave. A connection that breaks then says little, and the end of an
-//! endpoint may break none. So what was sent to each life of an endpoint is remembered until it
-//! has an answer: while it runs there, and for some seconds after it was broken off, by a broken
-//! connection or because nobody waited for it any more. Once a life is known to have ended, these
-//! are the requests under which it may have.
+//! The load that this answers: a request that crashes its endpoint while connections are reset,
+//! links are cut, and callers disconnect. A lost connection alone then says little about the
+//! endpoint, and a crash may go without a lost connection. So each request is remembered until
+//! its incarnation of the endpoint answers: while it runs there, and for some seconds after it
+//! was aborted, because its connection was lost or no caller waited for it any more. Once an
+//! incarnation is known to have terminated, these are the requests that may have crashed it.
 //!
-//! What was broken off earlier must not be blamed: an endpoint that is seen to live some time
-//! after a request was broken off there did not end under it. Any answer of the same life shows
-//! that; where none comes, it is looked for.
+//! Requests that were aborted earlier must not be blamed: if an endpoint is alive some time after
+//! a request was aborted there, that request did not crash it. Any answer of the same incarnation
+//! proves this; if none arrives, the endpoint is probed.
 
 use crate::{endpoint::Incarnation, fingerprint::Fingerprint};
 use std::{
@@ -18,63 +18,63 @@
 };
 use trestle_core::names::EndpointName;
 
-/// Time for which a request that was broken off is remembered: an entry vanishes after three
-/// heartbeats of 1.2 s, and the news of it takes a second more.
-const IN_DOUBT_MS: u64 = 6_000;
-/// Time by which an endpoint has ended that ends under a request which was broken off there:
-/// it drops the request once it sees that the connection is gone.
+/// Time for which an aborted request is remembered: an entry lapses after three heartbeats of 1.2
+/// s, and the update of the list takes a second more.
+const UNRESOLVED_MS: u64 = 6_000;
+/// Longest time from the abort of a request until the endpoint has crashed, if it crashes under
+/// that request: an endpoint drops a request once it sees that the connection is closed.
 pub const MAX_CRASH_DELAY_MS: u64 = 500;
 
-/// What was sent to endpoints and had no answer.
+/// Requests without an answer, by incarnation.
 #[derive(Debug, Default)]
 pub struct UnresolvedRequests {
-    by_life: BTreeMap<Incarnation, IncarnationRequests>,
+    by_incarnation: BTreeMap<Incarnation, IncarnationRequests>,
 }
 
-/// What is open at one life of an endpoint.
+/// The requests that one incarnation has not answered.
 #[derive(Debug, Default)]
 struct IncarnationRequests {
-    /// Where it listens, if anything was sent there.
+    /// Address of the endpoint; `None` if nothing was sent there.
     address: Option<SocketAddr>,
-    /// Requests that run there, as far as is known, and how many times.
+    /// Requests that run there as far as this daemon knows, with the number of their attempts.
     running: BTreeMap<Fingerprint, u32>,
-    /// Requests that were broken off there, and when.
-    broken_off: BTreeMap<Fingerprint, u64>,
-    /// Whether somebody is finding out if it has ended.
-    is_looked_into: bool,
-    /// Since when it is known that it has.
-    ended_ms: Option<u64>,
+    /// Requests that were aborted there, and when.
+    aborted: BTreeMap<Fingerprint, u64>,
+    /// Whether a task is checking if the incarnation has terminated.
+    is_being_checked: bool,
+    /// When the incarnation was found to have terminated; `None` if it was not.
+    terminated_ms: Option<u64>,
 }
 
-/// What a broken connection says of its endpoint.
+/// What a lost connection means for its endpoint.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum ConnectionLoss {
-    /// Whether the endpoint has ended should be found out.
+    /// The endpoint may have terminated; the caller of the method must check it.
     CheckNeeded,
-    /// That is being found out.
+    /// The endpoint may have terminated; a check is already running.
     CheckRunning,
-    /// The endpoint is known to have ended.
+    /// The endpoint is known to have terminated.
     Terminated,
 }
 
-/// By what it is known that an endpoint has ended.
+/// What proves that an endpoint has terminated.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum Evidence {
-    /// Nothing listens at its address.
+    /// No process listens at its address.
     Refused,
-    /// Another one listens at its address.
+    /// Another endpoint listens at its address.
     Replaced,
-    /// It has started again under its name.
+    /// The endpoint has restarted under the same name.
     StartedAgain,
-    /// Its entry is gone, and it was not seen leaving. It may have left without a word, and then
-    /// goes on with what runs there.
+    /// The endpoint's entry is gone although it announced no draining. It may have stopped
+    /// without an announcement, and then still finishes its running requests.
     Unlisted,
 }
 
 impl Evidence {
-    /// Its name in logs.
+    /// Returns the name of the evidence in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -86,45 +86,45 @@
 }
 
 impl UnresolvedRequests {
-    /// Notes that a request leaves for an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn sent(&mut self, incarnation: &Incarnation, address: SocketAddr, request: Fingerprint) {
-        let doubt = self.doubt(incarnation);
-        doubt.address = Some(address);
-        *doubt.running.entry(request).or_default() += 1;
+        let requests = self.requests(incarnation);
+        requests.address = Some(address);
+        *requests.running.entry(request).or_default() += 1;
     }
 
-    /// Notes that a request has ended at an endpoint and is of no interest there any more.
+    /// Records that an attempt at an endpoint ended and needs no further tracking there.
     pub fn resolved(&mut self, incarnation: &Incarnation, request: Fingerprint) {
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
-        if let Some(count) = doubt.running.get_mut(&request) {
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        if let Some(count) = requests.running.get_mut(&request) {
             *count -= 1;
             if *count == 0 {
-                doubt.running.remove(&request);
+                requests.running.remove(&request);
             }
         }
-        if doubt.is_empty() {
-            self.by_life.remove(incarnation);
+        if requests.is_empty() {
+            self.by_incarnation.remove(incarnation);
         }
     }
 
-    /// Notes that nobody waits any more for a request that runs at an endpoint; returns whether
-    /// that is known to have ended.
+    /// Records that a running request was abandoned, because no caller waits for it. Returns
+    /// whether the incarnation is known to have terminated.
     pub fn abandoned(
         &mut self,
         incarnation: &Incarnation,
         request: Fingerprint,
         now_ms: u64,
     ) -> bool {
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return false };
-        let has_ended = doubt.ended_ms.is_some();
-        if !has_ended {
-            doubt.broken_off.insert(request, now_ms);
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return false };
+        let is_terminated = requests.terminated_ms.is_some();
+        if !is_terminated {
+            requests.aborted.insert(request, now_ms);
         }
         self.resolved(incarnation, request);
-        has_ended
+        is_terminated
     }
 
-    /// Notes that the connection of a request to an endpoint broke.
+    /// Records that the connection of a request to an endpoint was lost.
     pub fn connection_lost(
         &mut self,
         incarnation: &Incarnation,
@@ -132,69 +132,72 @@
         now_ms: u64,
     ) -> ConnectionLoss {
         self.forget(now_ms);
-        let doubt = self.doubt(incarnation);
-        if doubt.ended_ms.is_some() {
+        let requests = self.requests(incarnation);
+        if requests.terminated_ms.is_some() {
             return ConnectionLoss::Terminated;
         }
-        doubt.broken_off.insert(request, now_ms);
-        match std::mem::replace(&mut doubt.is_looked_into, true) {
+        requests.aborted.insert(request, now_ms);
+        match std::mem::replace(&mut requests.is_being_checked, true) {
             true => ConnectionLoss::CheckRunning,
             false => ConnectionLoss::CheckNeeded,
         }
     }
 
-    /// Whether somebody who is finding out if an endpoint has ended must go on: something was
-    /// broken off there, and nothing shows that it lived later. If not, the next broken
-    /// connection has it found out again.
+    /// Returns whether the check of an incarnation must go on: requests were aborted there, and
+    /// nothing proves that it was alive later. If it need not, the next lost connection starts a
+    /// new check.
     pub fn needs_check(&mut self, incarnation: &Incarnation, now_ms: u64) -> bool {
         self.forget(now_ms);
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return false };
-        let keeps_looking = doubt.ended_ms.is_none() && !doubt.broken_off.is_empty();
-        doubt.is_looked_into = keeps_looking;
-        if doubt.is_empty() {
-            self.by_life.remove(incarnation);
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return false };
+        let needs_check = requests.terminated_ms.is_none() && !requests.aborted.is_empty();
+        requests.is_being_checked = needs_check;
+        if requests.is_empty() {
+            self.by_incarnation.remove(incarnation);
         }
-        keeps_looking
+        needs_check
     }
 
-    /// Takes that an endpoint has answered a request that left at `sent_ms`, over a connection
-    /// that was opened at `opened_ms`. Where starts cannot be told apart by the answer, they can
-    /// by the connection: one that was open before still leads to the same start.
+    /// Records that an endpoint answered a request that was sent at `sent_ms`, over a connection
+    /// that was opened at `opened_ms`. If incarnations have no start times, the connection
+    /// distinguishes them: one that was open before the abort still leads to the same
+    /// incarnation.
     pub fn answered(&mut self, incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) {
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
-        let is_named = incarnation.started_unix_ms == 0;
-        // It has come back, or was never gone.
-        doubt.ended_ms.take_if(|ended_ms| is_named && *ended_ms < sent_ms);
-        doubt.broken_off.retain(|_, at_ms| {
-            let is_same = is_named || opened_ms <= *at_ms;
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        let lacks_start_time = incarnation.started_unix_ms == 0;
+        // The endpoint is back, or had never terminated.
+        requests
+            .terminated_ms
+            .take_if(|terminated_ms| lacks_start_time && *terminated_ms < sent_ms);
+        requests.aborted.retain(|_, at_ms| {
+            let is_same = lacks_start_time || opened_ms <= *at_ms;
             !(is_same && *at_ms + MAX_CRASH_DELAY_MS <= sent_ms)
         });
     }
 
-    /// Takes that a life of an endpoint was alive at a time.
+    /// Records that an incarnation was alive at `at_ms`.
     pub fn confirmed_alive(&mut self, incarnation: &Incarnation, at_ms: u64) {
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return };
-        doubt.broken_off.retain(|_, broken_ms| at_ms < *broken_ms + MAX_CRASH_DELAY_MS);
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        requests.aborted.retain(|_, aborted_ms| at_ms < *aborted_ms + MAX_CRASH_DELAY_MS);
     }
 
-    /// Takes that a request had a whole answer: nothing ends under it.
+    /// Records that a request was answered completely, so that it crashes no endpoint.
     pub fn served(&mut self, request: Fingerprint) {
-        for doubt in self.by_life.values_mut() {
-            doubt.broken_off.remove(&request);
+        for requests in self.by_incarnation.values_mut() {
+            requests.aborted.remove(&request);
         }
     }
 
-    /// Lives at which a request was broken off, and of which it is not known whether they ended
-    /// under it.
+    /// Returns the number of incarnations at which a request was aborted and that may have
+    /// crashed under it.
     pub fn unresolved_incarnations(&self, request: Fingerprint, now_ms: u64) -> usize {
-        let is_open = |doubt: &&IncarnationRequests| {
-            let broken_ms = doubt.broken_off.get(&request);
-            broken_ms.is_some_and(|at_ms| now_ms < *at_ms + IN_DOUBT_MS)
+        let is_open = |requests: &&IncarnationRequests| {
+            let aborted_ms = requests.aborted.get(&request);
+            aborted_ms.is_some_and(|at_ms| now_ms < *at_ms + UNRESOLVED_MS)
         };
-        self.by_life.values().filter(is_open).count()
+        self.by_incarnation.values().filter(is_open).count()
     }
 
-    /// Takes that an endpoint has ended; returns the requests under which it may have.
+    /// Records that an incarnation terminated. Returns the requests that may have crashed it.
     pub fn terminated(
         &mut self,
         incarnation: &Incarnation,
@@ -202,20 +205,23 @@
         now_ms: u64,
     ) -> BTreeSet<Fingerprint> {
         self.forget(now_ms);
-        let Some(doubt) = self.by_life.get_mut(incarnation) else { return BTreeSet::new() };
-        if evidence == Evidence::Unlisted && doubt.broken_off.is_empty() {
+        let Some(requests) = self.by_incarnation.get_mut(incarnation) else {
+            return BTreeSet::new();
+        };
+        if evidence == Evidence::Unlisted && requests.aborted.is_empty() {
             return BTreeSet::new();
         }
-        doubt.ended_ms = Some(now_ms);
-        let mut requests: BTreeSet<Fingerprint> =
-            std::mem::take(&mut doubt.broken_off).into_keys().collect();
+        requests.terminated_ms = Some(now_ms);
+        let mut suspects: BTreeSet<Fingerprint> =
+            std::mem::take(&mut requests.aborted).into_keys().collect();
         if evidence != Evidence::Unlisted {
-            requests.extend(doubt.running.keys());
+            suspects.extend(requests.running.keys());
         }
-        requests
+        suspects
     }
 
-    /// Lives with open requests, not known to have ended, that are not among these.
+    /// Returns the incarnations with open requests that are not listed and not known to have
+    /// terminated.
     pub fn unlisted(&self, is_listed: impl Fn(&Incarnation) -> bool) -> Vec<Incarnation> {
         self.open()
             .map(|(incarnation, _)| incarnation)
@@ -224,9 +230,10 @@
             .collect()
     }
 
-    /// The same of other endpoints at an address.
+    /// Returns the incarnations of other endpoints at an address that have open requests and are
+    /// not known to have terminated.
     pub fn others_at(&self, address: SocketAddr, name: &EndpointName) -> Vec<Incarnation> {
-        let others = self.open().filter(|(_, doubt)| doubt.address == Some(address));
+        let others = self.open().filter(|(_, requests)| requests.address == Some(address));
         others
             .map(|(incarnation, _)| incarnation)
             .filter(|incarnation| incarnation.name != *name)
@@ -235,27 +242,27 @@
     }
 
     fn open(&self) -> impl Iterator<Item = (&Incarnation, &IncarnationRequests)> {
-        self.by_life.iter().filter(|(_, doubt)| doubt.ended_ms.is_none())
+        self.by_incarnation.iter().filter(|(_, requests)| requests.terminated_ms.is_none())
     }
 
-    fn doubt(&mut self, incarnation: &Incarnation) -> &mut IncarnationRequests {
-        self.by_life.entry(incarnation.clone()).or_default()
+    fn requests(&mut self, incarnation: &Incarnation) -> &mut IncarnationRequests {
+        self.by_incarnation.entry(incarnation.clone()).or_default()
     }
 
     fn forget(&mut self, now_ms: u64) {
-        let is_past = |at_ms: u64| now_ms >= at_ms + IN_DOUBT_MS;
-        self.by_life.retain(|_, doubt| {
-            doubt.broken_off.retain(|_, at_ms| !is_past(*at_ms));
-            doubt.ended_ms.take_if(|ended_ms| is_past(*ended_ms));
-            !doubt.is_empty()
+        let has_lapsed = |at_ms: u64| now_ms >= at_ms + UNRESOLVED_MS;
+        self.by_incarnation.retain(|_, requests| {
+            requests.aborted.retain(|_, at_ms| !has_lapsed(*at_ms));
+            requests.terminated_ms.take_if(|terminated_ms| has_lapsed(*terminated_ms));
+            !requests.is_empty()
         });
     }
 }
 
 impl IncarnationRequests {
-    /// Whether nothing of it is needed any more.
+    /// Returns whether the value holds nothing that is still needed.
     fn is_empty(&self) -> bool {
-        let is_open = !self.running.is_empty() || !self.broken_off.is_empty();
-        !is_open && !self.is_looked_into && self.ended_ms.is_none()
+        let is_open = !self.running.is_empty() || !self.aborted.is_empty();
+        !is_open && !self.is_being_checked && self.terminated_ms.is_none()
     }
 }
--- a/crates/trestle-dispatch/tests/crashes.rs
+++ b/crates/trestle-dispatch/tests/crashes.rs
@@ -51,10 +51,10 @@
 
 cases! {
     a_request_is_refused_from_the_third_end_on => {
-        assert_eq!(ended(MAX_CRASHES - 1).refused_for_ms(request(1), 3_000), None);
+        assert_eq!(ended(MAX_CRASHES - 1).rejected_for_ms(request(1), 3_000), None);
         let crashes = ended(MAX_CRASHES);
-        assert_eq!(crashes.refused_for_ms(request(1), 2_000), Some(FIRST_MS));
-        assert_eq!(crashes.refused_for_ms(request(2), 2_000), None);
+        assert_eq!(crashes.rejected_for_ms(request(1), 2_000), Some(FIRST_MS));
+        assert_eq!(crashes.rejected_for_ms(request(2), 2_000), None);
     }
 
     an_endpoint_that_ends_twice_in_two_lives_counts_twice => {
@@ -62,7 +62,7 @@
         for (born_ms, at_ms) in [(10, 1_000), (10, 1_050), (20, 5_000), (15, 9_000)] {
             crashes.record_crash(request(1), &incarnation("e", born_ms), at_ms);
         }
-        assert!(crashes.refused_for_ms(request(1), 9_000).is_some());
+        assert!(crashes.rejected_for_ms(request(1), 9_000).is_some());
         assert_eq!(crashes.changes_since(0, 9_000).0[0].crashes.len(), 3);
     }
 
@@ -72,16 +72,16 @@
         for number in 1..5 {
             crashes.record_crash(request(1), &incarnation(&format!("e{number}"), 0), 1_000);
         }
-        assert_eq!(crashes.refused_for_ms(request(1), 1_000), None);
+        assert_eq!(crashes.rejected_for_ms(request(1), 1_000), None);
     }
 
     it_is_let_through_again_ever_more_seldom => {
         let mut crashes = ended(MAX_CRASHES);
         let mut now_ms = 2_000;
         for (number, refused_ms) in [FIRST_MS, 4 * FIRST_MS, 10 * MINUTE_MS * 4 / 5, 10 * MINUTE_MS, 10 * MINUTE_MS].into_iter().enumerate() {
-            assert_eq!(crashes.refused_for_ms(request(1), now_ms), Some(refused_ms), "{number}");
+            assert_eq!(crashes.rejected_for_ms(request(1), now_ms), Some(refused_ms), "{number}");
             now_ms += refused_ms;
-            assert_eq!(crashes.refused_for_ms(request(1), now_ms), None);
+            assert_eq!(crashes.rejected_for_ms(request(1), now_ms), None);
             crashes.record_crash(request(1), &incarnation(&format!("later-{number}"), 0), now_ms);
         }
     }
@@ -92,7 +92,7 @@
         for number in 0..40 {
             crashes.record_crash(request(1), &incarnation(&format!("e{number}"), 0), 1_000 + 10 * number);
         }
-        assert!(crashes.refused_for_ms(request(1), 1_400).is_some_and(|ms| ms <= FIRST_MS));
+        assert!(crashes.rejected_for_ms(request(1), 1_400).is_some_and(|ms| ms <= FIRST_MS));
         let mut other = Crashes::default();
         other.apply_reports(&crashes.restricted_reports(1_400).0, 1_400);
         let (_, before) = crashes.restricted_reports(1_400);
@@ -100,13 +100,13 @@
         let (told, number) = crashes.restricted_reports(1_500);
         assert!(number > before, "the answer is news for all who refuse it");
         other.apply_reports(&told, 1_500);
-        assert_eq!(other.refused_for_ms(request(1), 1_500), None);
+        assert_eq!(other.rejected_for_ms(request(1), 1_500), None);
     }
 
     daemons_let_a_request_through_one_after_the_other => {
         let mut late = Crashes::with_delay(3_000);
         late.apply_reports(&ended(MAX_CRASHES).restricted_reports(2_000).0, 2_000);
-        assert_eq!(late.refused_for_ms(request(1), 2_000), Some(FIRST_MS + 3_000));
+        assert_eq!(late.rejected_for_ms(request(1), 2_000), Some(FIRST_MS + 3_000));
     }
 
     it_is_forgotten_after_twice_that => {
@@ -124,7 +124,7 @@
             crashes.record_crash(Fingerprint::from_bytes(bytes), &incarnation("e", 0), 3_000 + number);
         }
         assert!(crashes.changes_since(0, 13_000).0.len() <= 4_097);
-        assert!(crashes.refused_for_ms(request(1), 13_000).is_some());
+        assert!(crashes.rejected_for_ms(request(1), 13_000).is_some());
     }
 
     /// Three daemons each see one end; whatever way their news take, all refuse the request,
@@ -154,7 +154,7 @@
                 assert!(exchanges < 1_000, "seed {seed}: news without end");
             }
             for daemon in &daemons {
-                assert!(daemon.refused_for_ms(request(1), 12_000).is_some(), "seed {seed}");
+                assert!(daemon.rejected_for_ms(request(1), 12_000).is_some(), "seed {seed}");
             }
         }
     }
--- a/crates/trestle-dispatch/tests/trials.rs
+++ b/crates/trestle-dispatch/tests/trials.rs
@@ -82,7 +82,7 @@
         assert!(number > before, "it is news for askers");
         other.apply_reports(&told, 200);
         assert!(other.must_run_serially(REQUEST));
-        assert_eq!(other.refused_for_ms(REQUEST, 200), None);
+        assert_eq!(other.rejected_for_ms(REQUEST, 200), None);
     }
 
     an_answer_takes_back_what_askers_were_told => {
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -76,7 +76,7 @@
     let now_ms = daemon.knowledge.now_ms();
     let (refused, taken_back) = daemon.knowledge.with(|local_view| {
         let is_refused = |report: &&CrashReport, crashes: &Crashes| {
-            crashes.refused_for_ms(report.request, now_ms).is_some()
+            crashes.rejected_for_ms(report.request, now_ms).is_some()
         };
         let before = reports.iter().filter(|report| is_refused(report, &local_view.crashes));
         let before: Vec<&CrashReport> = before.collect();
