--- a/crates/trestle-dispatch/src/average.rs
+++ b/crates/trestle-dispatch/src/average.rs
@@ -1,6 +1,6 @@
-//! An average in which older values count less and less.
+//! Exponential moving averages.
 
-/// An average in which each new value has the same weight.
+/// An exponential moving average, in which the newest value always has the same weight.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MovingAverage {
     newest_weight: f64,
@@ -8,18 +8,18 @@
 }
 
 impl MovingAverage {
-    /// Nothing was seen yet.
+    /// Creates an average without values.
     pub(crate) const fn new(newest_weight: f64) -> Self {
         Self { newest_weight, value: None }
     }
 
-    /// Takes a value; the first is the average.
-    pub(crate) fn note(&mut self, newest: f64) {
+    /// Adds a value; the first one becomes the average.
+    pub(crate) fn add(&mut self, newest: f64) {
         let before = self.value.unwrap_or(newest);
         self.value = Some(before + (newest - before) * self.newest_weight);
     }
 
-    /// The average, if anything was seen.
+    /// Returns the average; `None` before the first value.
     pub(crate) fn get(&self) -> Option<f64> {
         self.value
     }
--- a/crates/trestle-dispatch/src/catalog.rs
+++ b/crates/trestle-dispatch/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as decisions use it.
+//! The operators' configuration in the form that decisions use.
 
 use crate::{
     endpoint::{Endpoint, Held},
@@ -11,51 +11,51 @@
 /// One version of the configuration.
 #[trestle_macros::plain]
 pub struct Catalog {
-    /// Grows with each change, not by one.
+    /// Version number; it grows with each change, possibly by more than one.
     pub version: u64,
     /// All routes.
     pub routes: RouteTable,
-    /// All services.
+    /// All services, by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What callers may do.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
-    /// Who may ask; empty where anybody may.
+    /// The teams that may send requests; empty if no key is needed.
     pub teams: Teams,
 }
 
-/// Limits towards callers.
+/// Limits on requests and connections of callers.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct CallerLimits {
-    /// Size of the head of a request.
+    /// Largest size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Size of the body of a request.
+    /// Largest size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time for sending a request's head.
+    /// Longest time in which a caller may send a request's head.
     pub header_ms: u64,
-    /// Time for which a connection may be idle.
+    /// Longest time for which a connection may be idle.
     pub idle_ms: u64,
 }
 
 /// One service.
 #[trestle_macros::plain]
 pub struct Service {
-    /// Connections that each of its endpoints takes from all callers together.
+    /// Number of connections that each endpoint of the service accepts from all callers together.
     pub max_connections: u32,
-    /// Where an endpoint of it says who it is.
+    /// Path at which an endpoint of the service reports its identity, if there is one.
     pub health_path: Option<String>,
-    /// What its engines can hold; none for a plain service.
+    /// Capacity and models of its engines; `None` for a plain service.
     pub engine: Option<Arc<EngineSpec>>,
 }
 
-/// What each engine of a service can hold.
+/// Capacity and models of the engines of one service.
 #[trestle_macros::plain]
 pub struct EngineSpec {
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Memory for weights and adapters.
+    /// Memory of an engine for weights and adapters.
     pub memory_mb: u64,
-    /// Adapters that an engine can hold.
+    /// Number of adapters that an engine can hold.
     pub adapter_slots: u32,
     /// The models of the service.
     pub models: BTreeMap<ModelName, ModelSpec>,
@@ -65,22 +65,22 @@
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct ModelSpec {
-    /// Memory for its weights, rounded up.
+    /// Memory for the weights, rounded up.
     pub weights_mb: u64,
-    /// Memory for one of its adapters, rounded up.
+    /// Memory for one adapter, rounded up.
     pub adapter_mb: u64,
-    /// Number of its adapters.
+    /// Number of adapters of the model.
     pub adapters: u32,
     /// Time of a load from the weight store.
     pub remote_load_ms: u64,
-    /// Time of a load from the engine's disk.
+    /// Time of a load from the disk of the engine's host.
     pub disk_load_ms: u64,
-    /// Time of a load from the engine's memory.
+    /// Time of a load from the memory of the engine's host.
     pub memory_load_ms: u64,
 }
 
 impl ModelSpec {
-    /// Time of a load at an engine, and whether it comes from the weight store.
+    /// Returns the time of a load at an engine, and whether the load reads from the weight store.
     pub fn load_ms(&self, endpoint: &Endpoint, model: &ModelName) -> (u64, bool) {
         if endpoint.in_memory.contains(model) {
             (self.memory_load_ms, false)
@@ -93,20 +93,20 @@
 }
 
 impl EngineSpec {
-    /// Memory for the weights of a model.
+    /// Returns the memory for the weights of a model.
     ///
-    /// A model that left the configuration counts as if it filled an engine, so that
-    /// nothing is loaded beside it.
+    /// A model that is no longer configured counts as if it filled an engine, so that nothing is
+    /// loaded beside it.
     pub fn weights_mb(&self, model: &ModelName) -> u64 {
         self.models.get(model).map_or(self.memory_mb, |spec| spec.weights_mb)
     }
 
-    /// Memory for one adapter of a model.
+    /// Returns the memory for one adapter of a model.
     pub fn adapter_mb(&self, model: &ModelName) -> u64 {
         self.models.get(model).map_or(0, |spec| spec.adapter_mb)
     }
 
-    /// Memory for everything that an engine holds.
+    /// Returns the memory for all models and adapters in `held`.
     pub fn held_mb(&self, held: &Held) -> u64 {
         let each = held.iter().map(|(model, adapters)| {
             self.weights_mb(model) + adapters.len() as u64 * self.adapter_mb(model)
--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -188,7 +188,7 @@
     adapter: Option<&AdapterName>,
 ) -> bool {
     known.replicas.can_run(endpoint, model, adapter)
-        && !known.local_view.records.is_absent(&endpoint.name, model, adapter, known.now_ms)
+        && !known.local_view.records.is_missing(&endpoint.name, model, adapter, known.now_ms)
 }
 
 /// How loaded an endpoint is, as a share of its slots, and how often it fails. The share
@@ -199,7 +199,7 @@
     let running = known.local_view.running(endpoint);
     let crossing = if endpoint.domain == known.local_view.domain { 0.0 } else { CROSSING_SHARE };
     let fill = f64::from(running) / f64::from(endpoint.slots.max(1));
-    fill + crossing + record.failed_share(known.now_ms).powi(2)
+    fill + crossing + record.failure_share(known.now_ms).powi(2)
 }
 
 fn mix(lot: u64, name: &EndpointName) -> u64 {
--- a/crates/trestle-dispatch/src/compressed_text.rs
+++ b/crates/trestle-dispatch/src/compressed_text.rs
@@ -1,8 +1,8 @@
-//! Texts that are packed for their way between daemons.
+//! Texts that are compressed for transfer between daemons.
 //!
 //! The load that this answers: a configuration that grows by a thousand routes, which one leader
-//! passes on to all daemons at once. Whole it kept the links of small VMs busy for longer than they
-//! wait for an answer, so they asked for it again and again, and got none.
+//! relays to all daemons at once. Uncompressed it occupied the links of small VMs for longer than
+//! daemons wait for an answer, so they repeated their requests and never received one.
 
 use flate2::{
     Compression,
@@ -10,36 +10,37 @@
 };
 use std::{io::Read, sync::Arc};
 
-/// Largest text that is unpacked; the store's rows are smaller.
-const MOST_BYTES: u64 = 16 << 20;
+/// Largest text in bytes that is decompressed; the store's rows are smaller.
+const MAX_TEXT_BYTES: u64 = 16 << 20;
 
-/// A packed text.
+/// A text in compressed form.
 #[trestle_macros::plain]
 pub struct CompressedText(Arc<Vec<u8>>);
 
 impl CompressedText {
-    /// Packs a text.
+    /// Compresses a text.
     pub fn compress(text: &[u8]) -> Self {
-        let mut packed = Vec::new();
+        let mut compressed = Vec::new();
         // Reading from memory does not fail.
-        let _ = DeflateEncoder::new(text, Compression::default()).read_to_end(&mut packed);
-        Self(Arc::new(packed))
+        let _ = DeflateEncoder::new(text, Compression::default()).read_to_end(&mut compressed);
+        Self(Arc::new(compressed))
     }
 
-    /// The text; `None` if it was not packed like this, or is too large.
+    /// Returns the text; `None` if the bytes are not valid compressed text, or the text is too
+    /// large.
     pub fn decompress(&self) -> Option<Vec<u8>> {
         let mut text = Vec::new();
-        let mut unpacked = DeflateDecoder::new(self.0.as_slice()).take(MOST_BYTES + 1);
-        unpacked.read_to_end(&mut text).ok()?;
-        (text.len() as u64 <= MOST_BYTES).then_some(text)
+        let mut decoder = DeflateDecoder::new(self.0.as_slice()).take(MAX_TEXT_BYTES + 1);
+        decoder.read_to_end(&mut text).ok()?;
+        (text.len() as u64 <= MAX_TEXT_BYTES).then_some(text)
     }
 
-    /// What is packed, as bytes.
+    /// Returns the compressed bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// A packed text that came as bytes.
+    /// Creates a value from compressed bytes that were received.
     pub fn from_bytes(bytes: Vec<u8>) -> Self {
         Self(Arc::new(bytes))
     }
--- a/crates/trestle-dispatch/src/config_texts.rs
+++ b/crates/trestle-dispatch/src/config_texts.rs
@@ -1,4 +1,4 @@
-//! The configuration as the store holds it, kept for passing it on.
+//! Texts of the most recent configurations, kept to relay them to other daemons.
 
 use crate::{
     compressed_text::CompressedText,
@@ -9,62 +9,62 @@
     sync::Arc,
 };
 
-/// Configurations that are kept: daemons are one or two changes behind, also where changes
-/// come in quick succession.
-const KEPT: usize = 4;
+/// Number of configurations that are kept: daemons are one or two changes behind, even if changes
+/// follow each other quickly.
+const KEPT_VERSIONS: usize = 4;
 
-/// What a daemon is told of the configuration.
+/// An update of the configuration for one daemon.
 #[derive(Debug, Clone)]
 pub enum ConfigUpdate {
-    /// Its text.
+    /// The whole text.
     Whole(CompressedText),
-    /// What has changed since a version that the daemon has.
+    /// The changes since a version that the daemon has.
     Changes {
-        /// That version.
+        /// The version that the daemon has.
         from: u64,
-        /// What makes the new text out of it.
+        /// The pieces from which the new text is composed.
         pieces: Arc<Vec<CompressedPiece>>,
     },
 }
 
-/// One part of a new text.
+/// One piece of a new text.
 #[derive(Debug, Clone)]
 pub enum CompressedPiece {
-    /// Bytes of the old text: where they begin, and how many.
+    /// A range of the old text: its start and its length in bytes.
     Kept(usize, usize),
-    /// Bytes that are new.
+    /// New bytes.
     New(CompressedText),
 }
 
-/// The last configurations, by version.
+/// The most recent configurations, by version.
 #[derive(Debug, Default)]
 pub struct ConfigTexts {
-    /// The oldest first.
+    /// Versions and texts, the oldest first.
     texts: VecDeque<(u64, Arc<Vec<u8>>)>,
-    /// The newest, once somebody has asked for all of it.
+    /// The newest text in compressed form, once a daemon needed all of it.
     whole: Option<CompressedText>,
-    /// What has changed since older ones; none where that is no shorter. Worked out once for
-    /// all daemons that ask.
+    /// Changes from older versions to the newest; `None` if they are no shorter than the text.
+    /// They are computed once for all daemons.
     deltas: BTreeMap<u64, Option<Arc<Vec<CompressedPiece>>>>,
 }
 
 impl ConfigTexts {
-    /// Takes a newer configuration.
+    /// Adds a newer configuration.
     pub fn add(&mut self, version: u64, text: Vec<u8>) {
         self.texts.push_back((version, Arc::new(text)));
         self.deltas.clear();
         self.whole = None;
-        while self.texts.len() > KEPT {
+        while self.texts.len() > KEPT_VERSIONS {
             self.texts.pop_front();
         }
     }
 
-    /// The text of a version.
+    /// Returns the text of a version.
     pub fn text(&self, version: u64) -> Option<&Arc<Vec<u8>>> {
         self.texts.iter().find(|(at, _)| *at == version).map(|(_, text)| text)
     }
 
-    /// What a daemon is told that has a version; nothing if that is the newest.
+    /// Returns the update for a daemon that has version `have`; `None` if that is the newest.
     pub fn update_since(&mut self, have: u64) -> Option<ConfigUpdate> {
         let (newest, text) = self.texts.back()?;
         if *newest <= have {
@@ -73,7 +73,9 @@
         let old = self.texts.iter().find(|(at, _)| *at == have);
         let pieces = old.and_then(|(from, old)| {
             let delta = self.deltas.entry(*from);
-            delta.or_insert_with(|| text_delta(old, text).map(packed).map(Arc::new)).clone()
+            delta
+                .or_insert_with(|| text_delta(old, text).map(compress_pieces).map(Arc::new))
+                .clone()
         });
         Some(match pieces {
             Some(pieces) => ConfigUpdate::Changes { from: have, pieces },
@@ -84,7 +86,7 @@
     }
 }
 
-fn packed(pieces: Vec<TextPiece>) -> Vec<CompressedPiece> {
+fn compress_pieces(pieces: Vec<TextPiece>) -> Vec<CompressedPiece> {
     let each = pieces.into_iter().map(|piece| match piece {
         TextPiece::Kept { from, length } => CompressedPiece::Kept(from, length),
         TextPiece::New(bytes) => CompressedPiece::New(CompressedText::compress(&bytes)),
@@ -92,13 +94,13 @@
     each.collect()
 }
 
-/// The pieces of a text as they were before their way; `None` if they were packed otherwise.
+/// Decompresses the pieces of a text. Returns `None` if a piece is not valid compressed text.
 pub fn decompress_pieces(pieces: &[CompressedPiece]) -> Option<Vec<TextPiece>> {
     let each = pieces.iter().map(|piece| match piece {
         CompressedPiece::Kept(from, length) => {
             Some(TextPiece::Kept { from: *from, length: *length })
         }
-        CompressedPiece::New(packed) => packed.decompress().map(TextPiece::New),
+        CompressedPiece::New(compress_pieces) => compress_pieces.decompress().map(TextPiece::New),
     });
     each.collect()
 }
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -223,7 +223,7 @@
             let before = self.peaks.get(&model).map_or(0.0, |peak| peak.decayed(now_ms));
             self.peaks.insert(model, Peak { running: running.max(before), at_ms: now_ms });
         }
-        self.run_s.note(run_s);
+        self.run_s.add(run_s);
         self.peaks.retain(|_, peak| peak.decayed(now_ms) >= 0.5);
     }
 
--- a/crates/trestle-dispatch/src/fingerprint.rs
+++ b/crates/trestle-dispatch/src/fingerprint.rs
@@ -1,24 +1,23 @@
-//! What a caller asks for, whatever id an attempt has.
+//! Fingerprints of requests, which are the same for all attempts of a request.
 //!
-//! An attempt that fails comes again with another id, at any daemon of any failure domain, and
-//! from another address where the caller has several. What stays the same is the path and the
-//! body; a digest of these names the request. Callers who send the same body are taken for one:
-//! what it does to an endpoint does not depend on who sends it. The digest is made by a hash
-//! under which nobody finds another body for it, so that no caller can have another's requests
-//! taken for its own.
+//! A caller retries a failed request with another id, at any daemon of any failure domain, and
+//! possibly from another address. The path and the body stay the same, so a digest of these
+//! identifies the request. Callers that send the same body are treated as one: what a request
+//! does to an endpoint does not depend on who sends it. The digest uses a cryptographic hash, so
+//! that no caller can craft a body with the fingerprint of another caller's request.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a fingerprint.
-const BYTES: usize = 16;
+/// Length of a fingerprint in bytes.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// A digest that all attempts of one request have in common.
+/// A digest that is the same for all attempts of a request.
 #[trestle_macros::key]
 #[derive(Copy)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// What all attempts of one request have in common.
+/// The parts of a request that are the same for all its attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
     /// The method.
@@ -32,27 +31,28 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(content: RequestContent<'_>) -> Self {
         let mut hasher = Sha256::new();
-        // Lengths go first, so that no part runs into the next.
+        // Each part is preceded by its length, so that different parts cannot form the same
+        // input.
         for part in [content.method, content.host, content.path] {
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
         hasher.update(content.body);
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&hasher.finalize()[..BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hasher.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// The fingerprint with these bytes.
-    pub const fn from_bytes(bytes: [u8; BYTES]) -> Self {
+    /// Creates a fingerprint from its bytes.
+    pub const fn from_bytes(bytes: [u8; FINGERPRINT_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Its bytes.
-    pub fn as_bytes(&self) -> &[u8; BYTES] {
+    /// Returns the bytes of the fingerprint.
+    pub fn as_bytes(&self) -> &[u8; FINGERPRINT_BYTES] {
         &self.0
     }
 }
--- a/crates/trestle-dispatch/src/identity.rs
+++ b/crates/trestle-dispatch/src/identity.rs
@@ -1,9 +1,9 @@
-//! Who asks, and whether the daemon knows well enough to say so.
+//! The identity of callers, and whether the daemon knows enough to determine it.
 //!
-//! The load that this answers: keys that are taken away while daemons are cut off from the store
-//! and from leaders, at any moment, also while requests wait. A key counts only as long as the
-//! configuration was certainly the newest a short time before the request came; after that the
-//! daemon cannot know, and says so, instead of serving or rejecting the caller.
+//! The load that this answers: keys that are revoked while daemons are cut off from the store and
+//! from leaders, at any moment, also while requests wait. A key is valid only if the
+//! configuration was certainly the newest a short time before the request arrived. Otherwise the
+//! daemon cannot know, and answers so instead of serving or rejecting the caller.
 
 use crate::{
     catalog::Catalog,
@@ -12,49 +12,50 @@
 };
 use std::sync::Arc;
 
-/// Who asks.
+/// The identity of a caller.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub enum Identity {
-    /// The configuration has no teams; whatever the caller sent is passed on.
+    /// The configuration has no teams; the caller's headers are forwarded unchanged.
     #[default]
     NotRequired,
-    /// Nobody that is known, on a route that is open to everybody.
+    /// An unknown caller, on a public route.
     Anonymous,
-    /// A team.
+    /// A caller that belongs to a team.
     Team {
         /// The team.
         team: Arc<Team>,
-        /// The key that the caller gave.
+        /// The key that the caller sent.
         key: KeyDigest,
     },
 }
 
-/// Why a caller is not let in.
+/// Why a caller is not admitted.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum NotAdmitted {
-    /// It gave no key that is known.
+    /// The caller sent no known key.
     UnknownKey,
-    /// Whether its key is still good, or already, cannot be known now.
-    Unsure,
+    /// The daemon cannot know whether the caller's key is valid now.
+    Uncertain,
 }
 
-/// How well the configuration is known.
+/// How current the configuration is known to be.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigCertainty {
-    /// Whether it was the newest so lately that keys in it count.
-    pub proves_keys: bool,
-    /// Whether a newer one may bind that has not come here yet.
+    /// Whether the configuration was the newest recently enough to accept its keys.
+    pub can_accept_keys: bool,
+    /// Whether a newer configuration may be in force that this daemon has not received yet.
     pub may_lack_newer: bool,
 }
 
 impl Identity {
-    /// Who asks for a route.
+    /// Determines the identity of a caller on a route.
     ///
     /// # Errors
     ///
-    /// Fails where a team's key is needed and there is none that certainly counts.
+    /// Fails if the route needs the key of a team and the caller sent none that is certainly
+    /// valid.
     pub fn of(
         catalog: &Catalog,
         route: &Route,
@@ -64,21 +65,23 @@
         if catalog.teams.is_empty() {
             return Ok(Self::NotRequired);
         }
-        let held = match credential {
+        let holder = match credential {
             Credential::Key(key) => catalog.teams.holder(&key).map(|team| (team, key)),
             Credential::Missing | Credential::Malformed => None,
         };
-        match (held, credential) {
-            _ if route.is_public && held.is_none() => Ok(Self::Anonymous),
-            (Some(_), _) if !certainty.proves_keys && !route.is_public => Err(NotAdmitted::Unsure),
+        match (holder, credential) {
+            _ if route.is_public && holder.is_none() => Ok(Self::Anonymous),
+            (Some(_), _) if !certainty.can_accept_keys && !route.is_public => {
+                Err(NotAdmitted::Uncertain)
+            }
             (Some((team, key)), _) => Ok(Self::Team { team: Arc::clone(team), key }),
-            // A key that was given a moment ago may not have come here yet.
-            (None, Credential::Key(_)) if certainty.may_lack_newer => Err(NotAdmitted::Unsure),
+            // A key that was issued just before may not have reached this daemon yet.
+            (None, Credential::Key(_)) if certainty.may_lack_newer => Err(NotAdmitted::Uncertain),
             (None, _) => Err(NotAdmitted::UnknownKey),
         }
     }
 
-    /// Whether the key still counts in a newer configuration.
+    /// Returns whether the caller's key is still valid in a newer configuration.
     pub fn is_still_valid(&self, catalog: &Catalog) -> bool {
         match self {
             Self::NotRequired | Self::Anonymous => true,
@@ -88,7 +91,7 @@
         }
     }
 
-    /// The team that asks.
+    /// Returns the caller's team.
     pub fn team(&self) -> Option<&Arc<Team>> {
         match self {
             Self::NotRequired | Self::Anonymous => None,
--- a/crates/trestle-dispatch/src/lib.rs
+++ b/crates/trestle-dispatch/src/lib.rs
@@ -1,27 +1,29 @@
-//! Decisions of a daemon whose durable state lies in an outside store.
+//! Decisions of a daemon whose durable state is in an external store.
 //!
-//! Everything here is a plain function over plain state: no input or output, no
-//! clock, no randomness of its own. The daemon feeds in what it observes, with
-//! the time on a clock that never stands still, and carries out what comes back.
+//! Everything here is a plain function of plain state, without I/O, clocks or randomness. The
+//! daemon passes in what it observes, with the time of a monotonic clock, and carries out the
+//! decisions that are returned.
 //!
-//! - What one daemon knows: [`beliefs`], made up of [`catalog`] (the operators'
-//!   configuration), [`listing`] (the store's list of endpoints, in one order whichever way it is
-//!   heard of), [`directory`] (which of them may be used), [`replicas`] (what the leader says),
-//!   [`record`] (how endpoints behaved), [`backpressure`] (what they ask for in their answers, read
-//!   as a [`notice`]), [`suspects`] and [`crashes`] (under which requests they
-//!   ended), [`asked`] (what its own callers ask for).
-//! - Callers: [`team`] has who may ask and for how much, [`identity`] says who asks.
-//!   [`quota`] is how a limit is kept: a [`lender`] at each leader, an [`allowance`] at each daemon.
-//! - Traffic: [`selection`] says what becomes of a request now. It asks [`choice`] for an
-//!   endpoint and [`admission`] whether to wait or refuse; [`sends`] says where the next send
-//!   may go, and [`retry_share`] bounds them. [`trials`] has a leader let one attempt run at a
-//!   time of a request that ended endpoints.
-//! - Replicas: [`lease`] says who may give orders, [`groups`] to which engines, [`candidate`] who
-//!   should rather, [`member_count`] how many daemons share budgets, [`demand`]
-//!   what all daemons ask for, [`service_state`] what the leader knows of the engines,
-//!   [`sharing`] which of several leaders sees to a model, [`placing`] what [`change`] to make
-//!   where, [`orders`] how one engine's orders follow each other. [`placement_log`] is how a
-//!   leader tells where models are.
+//! - The knowledge of one daemon: [`local_view`] combines [`catalog`] (the operators'
+//!   configuration), [`listing`] (the store's list of endpoints, ordered by version whichever
+//!   source it comes from), [`directory`] (the endpoints that may be used), [`replicas`] (where
+//!   models can be reached, as leaders report it), [`record`] (outcomes of requests at endpoints),
+//!   [`backpressure`] (what endpoints announce in their answers, read as [`signals`]),
+//!   [`unresolved_requests`] and [`crashes`] (requests under which endpoints crashed), and
+//!   [`local_demand`] (the demand of the daemon's own callers).
+//! - Callers: [`team`] has the teams with their keys and limits, [`identity`] determines which
+//!   team sends a request. [`quota`] enforces limits with a [`quota_allocator`] at each leader and
+//!   an [`allowance`] at each daemon.
+//! - Traffic: [`selection`] decides what happens to a request now. It uses [`choice`] to choose
+//!   an endpoint and [`admission`] to decide whether the request waits or is rejected; [`sends`]
+//!   decides where the next attempt may go, and [`retry_share`] bounds the number of attempts. With
+//!   [`trials`] a leader admits one attempt at a time of a request under which endpoints crashed.
+//! - Replicas: [`lease`] decides which daemon may give orders, [`groups`] to which engines, and
+//!   [`candidate`] which daemon should rather lead. [`member_count`] counts the daemons that share
+//!   budgets, [`demand`] adds up the demand of all daemons, and [`service_state`] is what the
+//!   leader knows of the engines. [`sharing`] decides which of several leaders is responsible for a
+//!   model, [`placing`] which [`change`] to make where, and [`orders`] in which sequence one engine
+//!   executes its orders. With [`placement_log`] a leader reports where models are.
 
 pub mod admission;
 pub mod allowance;
--- a/crates/trestle-dispatch/src/local_demand.rs
+++ b/crates/trestle-dispatch/src/local_demand.rs
@@ -1,4 +1,4 @@
-//! What callers of one daemon ask of a service's engines, as it tells the leader.
+//! The demand of one daemon's callers for a service's engines, as it reports it to the leader.
 
 use crate::{
     demand::{DemandReport, Waiting},
@@ -7,63 +7,63 @@
 use std::collections::BTreeMap;
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
-/// What callers of one daemon ask of one service's engines.
+/// The demand of one daemon's callers for the engines of one service.
 #[derive(Debug, Default)]
 pub struct LocalDemand {
-    /// Number of the last digest.
+    /// Number of the last demand report.
     pub last_report: u64,
-    /// Number of the last digest that the leader's plan has looked at.
+    /// Number of the last report that the leader's plan includes.
     pub last_planned: u64,
-    /// Requests that arrived since this was last told.
+    /// Requests that arrived since the last report, by model.
     pub arrivals: BTreeMap<ModelName, u32>,
-    /// All that arrived, for leaders that have not heard of it.
+    /// Rates of all arrivals, for leaders that have received no report yet.
     pub rates: Rates,
-    /// Requests that wait, by a number of their own.
+    /// Requests that wait, by a number that identifies the request.
     pub waiting: BTreeMap<u64, PendingDemand>,
-    /// Requests that were refused and may be back, by a number of their own.
+    /// Rejected requests whose callers may retry, by a number that identifies the request.
     pub returning: BTreeMap<u64, PendingDemand>,
-    /// Requests that run.
+    /// Running requests, by engine and model.
     pub running: BTreeMap<EndpointName, BTreeMap<ModelName, u32>>,
-    /// How many of them the leader has been told, by engine.
+    /// Number of running requests in the last report, by engine.
     pub reported_running: BTreeMap<EndpointName, u32>,
-    /// Requests that run with an adapter.
+    /// Running requests that use an adapter, by engine.
     pub adapters: BTreeMap<EndpointName, BTreeMap<(ModelName, AdapterName), u32>>,
 }
 
-/// What one request waits for.
+/// What one waiting request needs.
 #[trestle_macros::plain]
 pub struct PendingDemand {
-    /// Urgency; 0 goes first.
+    /// Urgency of the request; 0 is the most urgent.
     pub priority: u8,
-    /// When it is no longer on time, or no longer expected.
+    /// When the request is no longer on time, or its retry no longer expected.
     pub due_ms: u64,
-    /// The model.
+    /// The model that the request needs.
     pub model: ModelName,
-    /// The adapter.
+    /// The adapter that the request needs, if any.
     pub adapter: Option<AdapterName>,
-    /// Number of the first digest that told of it.
+    /// Number of the first report that included the request.
     pub first_report: Option<u64>,
-    /// When the leader was first heard to call it ready.
+    /// When the leader first reported the model as ready.
     pub ready_ms: Option<u64>,
 }
 
 impl LocalDemand {
-    /// What is to be told now; arrivals are told once. A leader that has heard nothing yet
-    /// is also told what is remembered.
+    /// Returns the next report; each arrival is reported once. The first report to a leader also
+    /// contains the history of arrivals.
     pub fn report(&mut self, is_first: bool, now_ms: u64) -> DemandReport {
         self.last_report += 1;
-        for wish in self.waiting.values_mut() {
-            wish.first_report.get_or_insert(self.last_report);
+        for demand in self.waiting.values_mut() {
+            demand.first_report.get_or_insert(self.last_report);
         }
-        self.returning.retain(|_, wish| now_ms < wish.due_ms);
+        self.returning.retain(|_, demand| now_ms < demand.due_ms);
         self.rates.forget(now_ms);
         let mut counts: BTreeMap<_, (u32, u8, u64)> = BTreeMap::new();
-        for wish in self.waiting.values().chain(self.returning.values()) {
-            let due_in_ms = wish.due_ms.saturating_sub(now_ms);
-            let key = (wish.model.clone(), wish.adapter.clone());
-            let entry = counts.entry(key).or_insert((0, wish.priority, due_in_ms));
+        for demand in self.waiting.values().chain(self.returning.values()) {
+            let due_in_ms = demand.due_ms.saturating_sub(now_ms);
+            let key = (demand.model.clone(), demand.adapter.clone());
+            let entry = counts.entry(key).or_insert((0, demand.priority, due_in_ms));
             entry.0 += 1;
-            entry.1 = entry.1.min(wish.priority);
+            entry.1 = entry.1.min(demand.priority);
             entry.2 = entry.2.min(due_in_ms);
         }
         let waiting = counts.into_iter().map(|((model, adapter), (count, priority, due_in_ms))| {
@@ -86,20 +86,21 @@
         }
     }
 
-    /// Whether something waits of which the leader has not been heard yet.
+    /// Returns whether a waiting request is not yet included in the leader's plan.
     pub fn has_unplanned(&self) -> bool {
-        let told =
-            |wish: &PendingDemand| wish.first_report.is_some_and(|told| self.last_planned >= told);
+        let told = |demand: &PendingDemand| {
+            demand.first_report.is_some_and(|told| self.last_planned >= told)
+        };
         !self.waiting.values().all(told)
     }
 
-    /// Whether the leader has planned with a request that waits.
+    /// Returns whether the leader's plan includes a waiting request.
     pub fn is_planned(&self, number: u64) -> bool {
-        let told = self.waiting.get(&number).and_then(|wish| wish.first_report);
+        let told = self.waiting.get(&number).and_then(|demand| demand.first_report);
         told.is_some_and(|told| self.last_planned >= told)
     }
 
-    /// Notes that a request was sent to an engine.
+    /// Records that a request was sent to an engine.
     pub(crate) fn sent(
         &mut self,
         endpoint: &EndpointName,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Notes that a request at an engine has ended.
+    /// Records that a request at an engine ended.
     pub(crate) fn ended(
         &mut self,
         endpoint: &EndpointName,
--- a/crates/trestle-dispatch/src/observed_times.rs
+++ b/crates/trestle-dispatch/src/observed_times.rs
@@ -25,7 +25,7 @@
 impl ObservedTimes {
     /// Notes how long an unload has waited for requests that ran.
     pub fn record_run_wait(&mut self, waited_ms: u64) {
-        self.run_wait_ms.note(waited_ms as f64);
+        self.run_wait_ms.add(waited_ms as f64);
     }
 
     /// Time that an unload waits for requests that run, on average.
--- a/crates/trestle-dispatch/src/outage.rs
+++ b/crates/trestle-dispatch/src/outage.rs
@@ -1,32 +1,37 @@
-//! How often a store that does not answer is tried.
+//! Pacing of the calls to a store that does not answer.
 //!
-//! Every call costs, also one that is refused, and all daemons try at once. So one
-//! daemon makes one try at a time, whatever it would read, and waits longer after
-//! each that fails.
+//! Every call is costly, even one that is refused, and all daemons retry at the same time. So one
+//! daemon makes one attempt at a time for all its readers, and waits longer after each failure.
 
-/// Pause after the first try that failed.
+/// Pause after the first failed attempt.
 const FIRST_PAUSE_MS: u64 = 250;
-/// Time for which a try is kept for a caller that looks from time to time and was turned away:
-/// a little longer than between two of its looks.
-const KEPT_MS: u64 = 300;
+/// Time for which the next attempt is reserved for a polling caller that was refused one;
+/// slightly longer than its polling interval.
+const RESERVED_MS: u64 = 300;
 
-/// How often a store that does not answer is tried by one daemon.
+/// Pacing of one daemon's calls to a store that does not answer.
 #[derive(Debug, Clone)]
 pub struct Outage {
     longest_pause_ms: u64,
-    /// Pause after the last try; 0 while the store answers.
+    /// Pause after the last attempt; 0 while the store answers.
     pause_ms: u64,
-    next_try_ms: u64,
-    /// Whether a try is under way.
-    is_trying: bool,
-    /// Whether a caller that looks from time to time was turned away.
-    is_kept: bool,
+    next_attempt_ms: u64,
+    /// Whether an attempt is running.
+    is_attempting: bool,
+    /// Whether the next attempt is reserved for a polling caller.
+    is_reserved: bool,
 }
 
 impl Outage {
-    /// The store answers as far as is known; pauses grow up to so long.
+    /// Creates the state of a store that answers. Pauses grow up to `longest_pause_ms`.
     pub fn new(longest_pause_ms: u64) -> Self {
-        Self { longest_pause_ms, pause_ms: 0, next_try_ms: 0, is_trying: false, is_kept: false }
+        Self {
+            longest_pause_ms,
+            pause_ms: 0,
+            next_attempt_ms: 0,
+            is_attempting: false,
+            is_reserved: false,
+        }
     }
 
     /// Sets the longest pause.
@@ -34,49 +39,49 @@
         self.longest_pause_ms = longest_pause_ms;
     }
 
-    /// Notes that the store answered; returns whether it did not before.
+    /// Records that the store answered. Returns whether it did not answer before.
     pub fn answered(&mut self) -> bool {
-        let was_away = self.pause_ms > 0;
+        let was_unavailable = self.pause_ms > 0;
         self.pause_ms = 0;
-        self.next_try_ms = 0;
-        self.is_trying = false;
-        self.is_kept = false;
-        was_away
+        self.next_attempt_ms = 0;
+        self.is_attempting = false;
+        self.is_reserved = false;
+        was_unavailable
     }
 
-    /// Notes that it did not answer, or refused.
+    /// Records that the store did not answer, or refused a call.
     pub fn failed(&mut self, now_ms: u64) {
-        // Calls that were on their way together fail together, and count once.
-        if now_ms < self.next_try_ms && !self.is_trying {
+        // Concurrent calls fail together and count once.
+        if now_ms < self.next_attempt_ms && !self.is_attempting {
             return;
         }
-        self.is_trying = false;
+        self.is_attempting = false;
         self.pause_ms = (self.pause_ms * 2).clamp(FIRST_PAUSE_MS, self.longest_pause_ms.max(1));
-        self.next_try_ms = now_ms + self.pause_ms;
+        self.next_attempt_ms = now_ms + self.pause_ms;
     }
 
-    /// Whether a try is due, for a caller that looks from time to time. If not, the next one is
-    /// kept for it: those that wait for the moment would take every one before it looks again,
-    /// and a daemon found a lease free for 20 s and could not take it.
+    /// Returns whether an attempt is due, for a caller that polls. If none is due, the next one
+    /// is reserved for it: callers that wait for the exact moment would otherwise take every
+    /// attempt before it polls again, and a daemon could not acquire a free lease for 20 s.
     pub fn may_try(&mut self, now_ms: u64) -> bool {
-        self.is_kept = now_ms < self.next_try_ms;
-        !self.is_kept
+        self.is_reserved = now_ms < self.next_attempt_ms;
+        !self.is_reserved
     }
 
-    /// Takes the next try.
+    /// Claims the next attempt.
     ///
     /// # Errors
     ///
-    /// Fails with the time until then, if it is not due yet.
+    /// Fails with the time until the next attempt, if none is due.
     pub fn try_now(&mut self, now_ms: u64) -> Result<(), u64> {
-        let due_ms = self.next_try_ms + if self.is_kept { KEPT_MS } else { 0 };
+        let due_ms = self.next_attempt_ms + if self.is_reserved { RESERVED_MS } else { 0 };
         if now_ms < due_ms {
             return Err(due_ms - now_ms);
         }
-        self.is_kept = false;
+        self.is_reserved = false;
         if self.pause_ms > 0 {
-            self.next_try_ms = now_ms + self.pause_ms;
-            self.is_trying = true;
+            self.next_attempt_ms = now_ms + self.pause_ms;
+            self.is_attempting = true;
         }
         Ok(())
     }
--- a/crates/trestle-dispatch/src/quota_allocator.rs
+++ b/crates/trestle-dispatch/src/quota_allocator.rs
@@ -1,10 +1,10 @@
-//! What a leader has of each limit that all daemons share, to lend to them: those of teams, and
-//! those that endpoints name.
+//! The leader's share of each limit that all daemons have in common, and its allocation to
+//! daemons: limits of teams, and limits that endpoints announce.
 //!
-//! The load that this answers: callers of a team who sit unevenly, half of them perhaps at one
-//! daemon, beside a team that sends many times its limit. Who asks first gets it, a request at a
-//! time, so nothing lies at daemons that do not need it; a team without any left costs others
-//! nothing but the question.
+//! The load that this answers: callers of a team who are spread unevenly, perhaps half of them at
+//! one daemon, beside a team that sends many times its limit. Units are allocated one request at
+//! a time in the order of the daemons' requests, so none lie unused at daemons that do not need
+//! them; a team that has none left costs others nothing but the request.
 
 use crate::{
     quota::{QuotaBounds, QuotaPlan},
@@ -13,100 +13,100 @@
 use std::collections::BTreeMap;
 use trestle_core::names::{DomainName, TeamName};
 
-/// Time over which what was refused counts against those that ask next: they stand in line
-/// behind it.
-const REFUSED_COUNTS_MS: f64 = 1_000.0;
-/// Part of a bucket that another leader gets at most.
-const MOST_GIVEN: f64 = 0.5;
-/// Time for which other leaders are not asked again that had nothing to give.
-const NOTHING_GIVEN_MS: u64 = 150;
+/// Time constant with which refused requests for units fade. While they count, later requesters
+/// are told to wait behind them.
+const REFUSED_DECAY_MS: f64 = 1_000.0;
+/// Largest part of a bucket that is transferred to another leader.
+const MAX_TRANSFER_PART: f64 = 0.5;
+/// Time for which other leaders are not asked again after they had nothing to transfer.
+const EMPTY_TRANSFER_MS: u64 = 150;
 
-/// Time after which a lease that has run out leaves nothing behind.
-const FORGOTTEN_MS: u64 = 10_000;
+/// Time after which a lease that ran out has no effect any more.
+const LAPSED_EXPIRY_MS: u64 = 10_000;
 
-/// What a leader has of each limit, by whose it is.
+/// A leader's buckets, one for each limit.
 #[derive(Debug)]
 pub struct QuotaAllocator<K = TeamName> {
     by_key: BTreeMap<K, Bucket>,
-    /// Leases that are held, or were lately, by group.
+    /// Leases that this daemon holds or held recently, by group.
     leases: BTreeMap<DomainName, GroupLease>,
-    /// When they last changed.
-    since_ms: u64,
-    /// Groups whose leaders share each limit.
-    sharing: usize,
+    /// When the leases last changed.
+    changed_ms: u64,
+    /// Number of groups whose leaders share each limit.
+    group_count: usize,
 }
 
-/// One lease, as far as lending depends on it.
+/// The parts of a lease that matter for allocation.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct HeldLease {
-    /// Its token.
+    /// The fencing token of the lease.
     pub token: u64,
-    /// Until when it is held for certain.
+    /// Time until which the lease is certainly held.
     pub until_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct GroupLease {
     held: HeldLease,
-    /// Since when it is no longer held.
+    /// Since when the lease is no longer held; `None` while it is.
     lapsed_ms: Option<u64>,
 }
 
 #[derive(Debug)]
 struct Bucket {
     units: f64,
-    at_ms: u64,
-    /// What was refused lately, fading.
+    credited_ms: u64,
+    /// Units that were refused recently, with exponential decay.
     refused: f64,
-    /// When other leaders may be asked again.
-    ask_others_ms: u64,
+    /// When other leaders may be asked for units again.
+    next_transfer_ms: u64,
 }
 
-/// What becomes of a question.
+/// The answer to a daemon's request for units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Allocation {
-    /// So many units may be spent.
+    /// This number of units may be spent.
     Lent(u64),
-    /// There are too few.
+    /// Too few units are available.
     Refused {
-        /// Time until there will be enough, for whoever asked.
+        /// Time until the requester can expect enough units.
         in_ms: u64,
     },
-    /// There are too few, and this daemon does not lead.
+    /// Too few units are available, and this daemon is no leader.
     NotLending,
 }
 
 impl<K> Default for QuotaAllocator<K> {
     fn default() -> Self {
-        Self { by_key: BTreeMap::new(), leases: BTreeMap::new(), since_ms: 0, sharing: 0 }
+        Self { by_key: BTreeMap::new(), leases: BTreeMap::new(), changed_ms: 0, group_count: 0 }
     }
 }
 
 impl<K: Ord + Clone> QuotaAllocator<K> {
-    /// Sets how many groups there may be, whose leaders share each limit.
+    /// Sets the number of groups whose leaders share each limit.
     pub fn set_group_count(&mut self, groups: usize) {
-        self.sharing = groups;
+        self.group_count = groups;
     }
 
-    /// How a limit is kept here. The leases that this daemon holds share it, also those of groups
-    /// whose endpoints are not listed at the moment.
+    /// Returns the plan for a limit at this leader. The leases that this daemon holds share the
+    /// limit too, also those of groups whose endpoints are not listed at the moment.
     pub fn plan(&self, limit: &TeamLimit, bounds: &QuotaBounds) -> QuotaPlan {
-        QuotaPlan::new(limit, bounds, self.sharing.max(self.leases.len()))
+        QuotaPlan::new(limit, bounds, self.group_count.max(self.leases.len()))
     }
 
-    /// Sets which leases this daemon holds now. What is earned for a further group starts at
-    /// nothing. What was earned under a lease that has run out is still lent, as long as nobody
-    /// else can have earned as much since: with the store away no other leader follows.
+    /// Sets the leases that this daemon holds now. Earning for a further group starts at zero.
+    /// What was earned under a lease that ran out is still allocated as long as nobody else can
+    /// have earned as much since: while the store is unavailable, no other leader follows.
     pub fn set_leases(&mut self, held: &BTreeMap<DomainName, HeldLease>, now_ms: u64) {
         let mut has_changed = false;
         for (group, lease) in held {
             let known = self.leases.get(group).copied();
             let is_held = known
                 .is_some_and(|known| known.lapsed_ms.is_none() && known.held.token == lease.token);
-            // Another one may have held it since, and have earned for it.
+            // Another daemon may have held the lease in between, and have earned for the group.
             if !is_held && known.is_some_and(|known| known.held.token + 1 != lease.token) {
-                self.drop_part();
+                self.drop_group_units();
             }
             has_changed |= !is_held;
             self.leases.insert(group.clone(), GroupLease { held: *lease, lapsed_ms: None });
@@ -118,83 +118,84 @@
             }
         }
         self.leases.retain(|_, lease| {
-            lease.lapsed_ms.is_none_or(|lapsed_ms| now_ms < lapsed_ms + FORGOTTEN_MS)
+            lease.lapsed_ms.is_none_or(|lapsed_ms| now_ms < lapsed_ms + LAPSED_EXPIRY_MS)
         });
         if has_changed {
-            // What is not settled yet is given up: it may have been earned by another.
-            self.by_key.values_mut().for_each(|bucket| bucket.at_ms = now_ms);
-            self.since_ms = now_ms;
+            // Units not yet credited are dropped: another leader may have earned them.
+            self.by_key.values_mut().for_each(|bucket| bucket.credited_ms = now_ms);
+            self.changed_ms = now_ms;
         }
     }
 
-    /// Gives up what may lie in buckets for one of the groups.
-    fn drop_part(&mut self) {
+    /// Removes what the buckets may hold for one of the groups.
+    fn drop_group_units(&mut self) {
         let groups = self.leases.len().max(1) as f64;
         self.by_key.values_mut().for_each(|bucket| bucket.units *= (groups - 1.0) / groups);
     }
 
-    /// Forgets limits that are no longer kept.
+    /// Drops the buckets of limits that no longer exist.
     pub fn retain(&mut self, is_kept: impl Fn(&K) -> bool) {
         self.by_key.retain(|key, _| is_kept(key));
     }
 
-    /// Groups for which this daemon earns.
-    fn earning(&self) -> usize {
+    /// Returns the number of groups for which this daemon earns units.
+    fn earning_groups(&self) -> usize {
         self.leases.values().filter(|lease| lease.lapsed_ms.is_none()).count()
     }
 
-    /// Most that may lie in a bucket now.
+    /// Returns the current capacity of a bucket.
     fn most_units(&self, plan: &QuotaPlan, now_ms: u64) -> f64 {
-        let each = self.leases.values().map(|lease| {
+        let capacities = self.leases.values().map(|lease| {
             let lapsed_ms = lease.lapsed_ms.map_or(0, |at_ms| now_ms.saturating_sub(at_ms));
             (plan.most_units - plan.units_per_ms * lapsed_ms as f64).max(0.0)
         });
-        each.sum()
+        capacities.sum()
     }
 
-    /// Lends a daemon some units of a limit.
+    /// Allocates units of a limit to a daemon, or refuses them.
     pub fn allocate(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> Allocation {
-        let groups = self.earning();
-        let bucket = self.settled(key, plan, now_ms);
-        let wanted = units as f64;
-        if bucket.units >= wanted {
-            bucket.units -= wanted;
+        let groups = self.earning_groups();
+        let bucket = self.credited(key, plan, now_ms);
+        let requested = units as f64;
+        if bucket.units >= requested {
+            bucket.units -= requested;
             return Allocation::Lent(units);
         }
         if groups == 0 {
             return Allocation::NotLending;
         }
         let earned = plan.units_per_ms * groups as f64;
-        let missing = wanted - bucket.units + bucket.refused;
-        bucket.refused += wanted;
-        Allocation::Refused { in_ms: (missing / earned).ceil() as u64 }
+        let lacking = requested - bucket.units + bucket.refused;
+        bucket.refused += requested;
+        Allocation::Refused { in_ms: (lacking / earned).ceil() as u64 }
     }
 
-    /// Takes that a refused question was met after all, by what another leader gave.
+    /// Records that a refused request was satisfied by a transfer from another leader after all.
     pub fn settle_refusal(&mut self, key: &K, units: u64) {
         if let Some(bucket) = self.by_key.get_mut(key) {
             bucket.refused = (bucket.refused - units as f64).max(0.0);
         }
     }
 
-    /// What another leader gets that has too little.
+    /// Takes units out of a bucket for another leader that has too few. Returns their number.
     pub fn transfer_out(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) -> u64 {
-        if self.earning() == 0 {
+        if self.earning_groups() == 0 {
             return 0;
         }
-        let bucket = self.settled(key, plan, now_ms);
-        let given = (bucket.units * MOST_GIVEN).min(units as f64).floor();
-        bucket.units -= given;
-        given as u64
+        let bucket = self.credited(key, plan, now_ms);
+        let transferred = (bucket.units * MAX_TRANSFER_PART).min(units as f64).floor();
+        bucket.units -= transferred;
+        transferred as u64
     }
 
-    /// Takes what another leader gave.
+    /// Adds units that another leader transferred.
     pub fn transfer_in(&mut self, key: &K, units: u64, plan: &QuotaPlan, now_ms: u64) {
-        self.settled(key, plan, now_ms).units += units as f64;
+        self.credited(key, plan, now_ms).units += units as f64;
     }
 
-    /// How much to ask of other leaders for somebody who wants so much, if they may be asked:
-    /// what is missing, and as much again for the next.
+    /// Returns the number of units to request from other leaders for a requester that needs
+    /// `units`: these, and as many again for the next one. Returns `None` while other leaders
+    /// must not be asked.
     pub fn units_to_request(
         &mut self,
         key: &K,
@@ -202,28 +203,29 @@
         plan: &QuotaPlan,
         now_ms: u64,
     ) -> Option<u64> {
-        let bucket = self.settled(key, plan, now_ms);
-        (now_ms >= bucket.ask_others_ms).then_some(2 * units)
+        let bucket = self.credited(key, plan, now_ms);
+        (now_ms >= bucket.next_transfer_ms).then_some(2 * units)
     }
 
-    /// Notes that other leaders had nothing to give.
+    /// Records that other leaders had no units to transfer.
     pub fn record_empty_transfer(&mut self, key: &K, now_ms: u64) {
         if let Some(bucket) = self.by_key.get_mut(key) {
-            bucket.ask_others_ms = now_ms + NOTHING_GIVEN_MS;
+            bucket.next_transfer_ms = now_ms + EMPTY_TRANSFER_MS;
         }
     }
 
-    /// A limit's bucket with everything in it that was earned until now.
-    fn settled(&mut self, key: &K, plan: &QuotaPlan, now_ms: u64) -> &mut Bucket {
-        let (groups, since_ms) = (self.earning() as f64, self.since_ms);
+    /// Returns the bucket of a limit, credited with everything that was earned until now.
+    fn credited(&mut self, key: &K, plan: &QuotaPlan, now_ms: u64) -> &mut Bucket {
+        let (groups, changed_ms) = (self.earning_groups() as f64, self.changed_ms);
         let most_units = self.most_units(plan, now_ms);
-        let new = || Bucket { units: 0.0, at_ms: since_ms, refused: 0.0, ask_others_ms: 0 };
+        let new =
+            || Bucket { units: 0.0, credited_ms: changed_ms, refused: 0.0, next_transfer_ms: 0 };
         let bucket = self.by_key.entry(key.clone()).or_insert_with(new);
-        let passed_ms = now_ms.saturating_sub(bucket.at_ms) as f64;
+        let passed_ms = now_ms.saturating_sub(bucket.credited_ms) as f64;
         let earned = plan.units_per_ms * groups * passed_ms;
         bucket.units = (bucket.units + earned).min(most_units);
-        bucket.refused *= (-passed_ms / REFUSED_COUNTS_MS).exp();
-        bucket.at_ms = now_ms;
+        bucket.refused *= (-passed_ms / REFUSED_DECAY_MS).exp();
+        bucket.credited_ms = now_ms;
         bucket
     }
 }
--- a/crates/trestle-dispatch/src/replicas.rs
+++ b/crates/trestle-dispatch/src/replicas.rs
@@ -1,7 +1,8 @@
-//! Where models can be reached, as leaders say.
+//! Where models can be reached, according to leaders.
 //!
-//! Entries of engines come with a delay. The daemon that gives an engine its orders knows
-//! earlier what is about to go and what has just arrived, and tells the others.
+//! The entries of engines arrive with a delay. The daemon that gives an engine its orders knows
+//! earlier which models are about to be evicted and which have been loaded, and reports this to
+//! the other daemons.
 
 use crate::{
     endpoint::{Endpoint, Held},
@@ -10,38 +11,39 @@
 use std::collections::BTreeMap;
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
-/// What leaders know of all engines of one service.
+/// What leaders report about the engines of one service.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct ReplicaView {
-    /// What is known of engines; of one that is not named, its entry is believed.
+    /// Summaries of engines; for an engine without a summary its entry is used.
     pub engines: BTreeMap<EndpointName, EngineSummary>,
-    /// When what is waited for will be ready, in ms from the view's arrival.
+    /// Times until models and adapters with waiting requests are ready, in milliseconds from the
+    /// arrival of the view.
     pub ready_in_ms: BTreeMap<Loadable, u64>,
-    /// Daemons that share budgets; 0 where they have not been counted yet.
+    /// Number of daemons that share budgets; 0 until they were counted.
     pub daemons: usize,
-    /// Daemons that ask the leader which says this.
+    /// Number of daemons that sync with the reporting leader.
     pub leader_clients: usize,
 }
 
-/// What leaders know of one engine.
+/// What leaders report about one engine.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct EngineSummary {
-    /// Models, with their adapters, for which it may get requests: without what is going,
-    /// and with what has arrived and is not in its entry yet.
+    /// Models for which the engine may receive requests, with their adapters: without those about
+    /// to be evicted, and with those loaded since its last entry.
     pub holds: Held,
-    /// Requests of all daemons that run there.
+    /// Number of requests of all daemons that run at the engine.
     pub running: u32,
 }
 
 impl ReplicaView {
-    /// What an endpoint can run.
+    /// Returns the models and adapters for which an endpoint may receive requests.
     pub fn holds<'a>(&'a self, endpoint: &'a Endpoint) -> &'a Held {
         self.engines.get(&endpoint.name).map_or(&endpoint.held, |note| &note.holds)
     }
 
-    /// Whether a request for a model, and one of its adapters, can run at an endpoint.
+    /// Returns whether a request for a model, and optionally an adapter, can run at an endpoint.
     pub fn can_run(
         &self,
         endpoint: &Endpoint,
@@ -52,7 +54,7 @@
         adapter.is_none_or(|adapter| adapters.contains(adapter))
     }
 
-    /// Requests of all daemons that run at an endpoint, as far as known.
+    /// Returns the number of requests of all daemons that run at an endpoint, as far as known.
     pub fn running(&self, endpoint: &EndpointName) -> u32 {
         self.engines.get(endpoint).map_or(0, |note| note.running)
     }
--- a/crates/trestle-dispatch/src/request.rs
+++ b/crates/trestle-dispatch/src/request.rs
@@ -1,57 +1,58 @@
-//! The head of one request, as far as decisions depend on it.
+//! The parts of a request and of its answer that decisions depend on.
 
 use crate::{fingerprint::Fingerprint, identity::Identity, team::Credential};
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
-/// The head of one request.
+/// The parts of a request's head that decisions depend on.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct RequestHead {
-    /// The id that the caller gave this attempt.
+    /// Id that the caller gave this attempt.
     pub id: String,
-    /// Time that the caller will wait, from its arrival here.
+    /// Time for which the caller waits, in milliseconds from the arrival of the request; `None`
+    /// if the request does not say.
     pub deadline_ms: Option<u64>,
-    /// The model it asks for.
+    /// The requested model, if the request names one.
     pub model: Option<ModelName>,
-    /// The adapter of that model.
+    /// The requested adapter of the model, if the request names one.
     pub adapter: Option<AdapterName>,
-    /// The last event that the caller already has of this stream.
+    /// Id of the last event of the stream that the caller has received, if it resumes one.
     pub last_event_id: Option<u64>,
-    /// Tokens of the prompt and of the longest answer, if it says so.
+    /// Number of tokens of the prompt and of the longest answer, if the request reports it.
     pub tokens: Option<u64>,
-    /// What the caller gave to say who asks.
+    /// The credential that the caller sent.
     pub credential: Credential,
-    /// What all attempts of the request have in common, once its body is there.
+    /// Fingerprint of the request, once its body was read.
     pub fingerprint: Option<Fingerprint>,
 }
 
-/// What the system sets on a request that it passes on.
+/// Values that the daemon sets on a request that it forwards.
 #[derive(Debug, Clone, Copy)]
 pub struct Forwarded<'a> {
     /// The endpoint that must answer.
     pub endpoint: &'a EndpointName,
-    /// Time that is left.
+    /// Remaining time until the deadline.
     pub deadline_ms: u64,
-    /// Urgency; 0 goes first.
+    /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// The last event that the caller already has.
+    /// Id of the last event that the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// Who asks.
+    /// Identity of the caller.
     pub identity: &'a Identity,
 }
 
-/// The head of an endpoint's answer, as far as decisions depend on it.
+/// The parts of an answer's head that decisions depend on.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct AnswerHead {
-    /// The request that it answers.
+    /// Id of the request that the answer belongs to, if it names one.
     pub request_id: Option<String>,
-    /// Whether it says that the request did not run and never will.
+    /// Whether the answer states that the request did not run and never will.
     pub is_not_run: bool,
-    /// Whether the endpoint has signed it.
+    /// Whether the answer is signed by the endpoint.
     pub is_signed: bool,
-    /// Whether the body was encoded on the way, so that it is not the endpoint's own.
+    /// Whether the body was encoded in transit and is not the endpoint's own.
     pub is_encoded: bool,
-    /// For how long the endpoint keeps the idle connection, if it says so.
+    /// Time for which the endpoint keeps the idle connection open, if the answer states it.
     pub idle_ms: Option<u64>,
 }
--- a/crates/trestle-dispatch/src/route.rs
+++ b/crates/trestle-dispatch/src/route.rs
@@ -1,20 +1,20 @@
-//! Routes: which service answers a request, and how it may be treated.
+//! Routes, which determine the service that answers a request and how it may be retried.
 
 use std::collections::BTreeMap;
 use trestle_core::names::ServiceName;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What may be done with a request a second time.
+/// Whether and how a request may run a second time.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum RouteKind {
-    /// A plain call that is idempotent.
+    /// An idempotent plain call.
     Idempotent,
-    /// A plain call that may run once at most.
+    /// A plain call that may run at most once.
     Single,
     /// A stream of events.
     Stream {
-        /// Whether a broken stream may go on at another endpoint.
+        /// Whether an interrupted stream may resume at another endpoint.
         is_resumable: bool,
     },
 }
@@ -22,57 +22,57 @@
 /// One of the services that share a route.
 #[trestle_macros::plain]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share, against the sum of all shares of the route.
+    /// Share of the service, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
 /// One route.
 #[trestle_macros::plain]
 pub struct Route {
-    /// The name that operators gave it.
+    /// Name that the operators gave the route.
     pub name: String,
-    /// Host of the requests.
+    /// Host of its requests.
     pub host: String,
-    /// Start of their paths, with a slash at both ends.
+    /// Prefix of their paths, with a slash at both ends.
     pub prefix: String,
-    /// What may be done a second time.
+    /// Whether and how its requests may run a second time.
     pub kind: RouteKind,
-    /// Longest time until the final answer.
+    /// Longest time until the end of an answer.
     pub timeout_ms: u64,
     /// Time within which an answer, or a stream's first event, is on time.
     pub objective_ms: u64,
     /// Longest pause between two events of a stream that is on time.
     pub pause_ms: u64,
-    /// Most endpoints that one request may be run on.
+    /// Largest number of endpoints that one request may run on.
     pub attempts: u32,
-    /// Urgency; 0 goes first.
+    /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it is open to callers without a key.
+    /// Whether the route is open to callers without a key.
     pub is_public: bool,
-    /// The services behind the route.
+    /// The services that answer its requests.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_idempotent(&self) -> bool {
         matches!(self.kind, RouteKind::Idempotent | RouteKind::Stream { is_resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.kind, RouteKind::Stream { .. })
     }
 
-    /// The service for a request; the same id always leads to the same one.
+    /// Returns the service for a request; the same id always yields the same service.
     pub fn target(&self, request_id: &str) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut point = xxh3_64(request_id.as_bytes()).checked_rem(total)?;
         for target in &self.targets {
             match point.checked_sub(u64::from(target.weight)) {
-                Some(rest) => point = rest,
+                Some(remainder) => point = remainder,
                 None => return Some(&target.service),
             }
         }
@@ -80,7 +80,7 @@
     }
 }
 
-/// All routes, found by host and longest prefix.
+/// All routes, indexed by host and path prefix.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct RouteTable {
@@ -88,7 +88,7 @@
 }
 
 impl RouteTable {
-    /// A table of the routes.
+    /// Creates a table of routes.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut by_host: BTreeMap<String, BTreeMap<String, Route>> = BTreeMap::new();
         for route in routes {
@@ -98,14 +98,14 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix of the path.
+    /// Returns the route of a host with the longest prefix of a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.by_host.get(host)?;
         let ends = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
-        ends.map(|(at, _)| &path[..=at]).find_map(|prefix| of_host.get(prefix))
+        ends.map(|(index, _)| &path[..=index]).find_map(|prefix| of_host.get(prefix))
     }
 
-    /// All routes.
+    /// Iterates over all routes.
     pub fn iter(&self) -> impl Iterator<Item = &Route> {
         self.by_host.values().flat_map(BTreeMap::values)
     }
--- a/crates/trestle-dispatch/src/store.rs
+++ b/crates/trestle-dispatch/src/store.rs
@@ -1,36 +1,35 @@
-//! Rows of the outside store, and what can be asked of it.
+//! Rows of the external store, and the results of its operations.
 
-/// Where a row stands.
+/// The key of a row.
 #[trestle_macros::key]
 pub struct RowKey {
-    /// Its table.
+    /// Name of the table.
     pub table: String,
-    /// Its partition in the table; the store carries out one transaction of a partition after
-    /// the other.
+    /// Partition of the table; the store serializes the transactions of one partition.
     pub partition: String,
-    /// Its key in the partition.
+    /// Key of the row in its partition.
     pub key: String,
 }
 
 /// One row.
 #[trestle_macros::plain]
 pub struct Row {
-    /// Where it stands.
+    /// Key of the row.
     pub key: RowKey,
-    /// Its content.
+    /// Content of the row.
     pub value: Vec<u8>,
-    /// The number of the transaction that wrote it.
+    /// Number of the transaction that wrote the row.
     pub version: u64,
 }
 
-/// What was read of a partition.
+/// One page of rows that were read from a partition.
 #[trestle_macros::plain]
 pub struct RowPage {
     /// Rows in the order of their keys.
     pub rows: Vec<Row>,
-    /// Whether there are more behind the last.
+    /// Whether the partition has more rows after the last one.
     pub has_more: bool,
-    /// The newest transaction that the answer reflects.
+    /// Number of the newest transaction that the page reflects.
     pub version: u64,
 }
 
@@ -39,39 +38,40 @@
 pub enum RowChange {
     /// A row was written.
     Written(Row),
-    /// A row was removed, by this transaction.
+    /// A row was removed by the transaction with this number.
     Removed(RowKey, u64),
 }
 
-/// Changes of a table after a transaction.
+/// The changes of a table since a transaction.
 #[trestle_macros::plain]
 pub enum Feed {
-    /// The changes, and the transaction to go on from.
+    /// The changes, and the number of the transaction from which to continue.
     Changes(Vec<RowChange>, u64),
-    /// The history no longer reaches back so far; the table must be read anew.
+    /// The store's history no longer reaches back to that transaction; the table must be read
+    /// again.
     Forgotten,
 }
 
-/// A write that takes effect only if the row still has a version.
+/// A write that takes effect only if the row has an expected version.
 #[trestle_macros::plain]
 pub struct ConditionalWrite {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The version that it must have; 0 if it must not exist.
+    /// The version that the row must have; 0 if it must not exist.
     pub expected: u64,
-    /// Its new content; none removes it.
+    /// The new content; `None` removes the row.
     pub value: Option<Vec<u8>>,
 }
 
-/// What became of a conditional write.
+/// The result of a conditional write.
 #[trestle_macros::plain]
 pub enum WriteOutcome {
-    /// It took effect with this version.
+    /// The write took effect with this version.
     Written(u64),
-    /// The row has another version; this is it, if it exists.
+    /// The row has another version; the value is the row, if it exists.
     Conflict(Option<Row>),
-    /// The store did nothing and says so.
+    /// The store answered that it did nothing.
     Refused,
-    /// No answer: it may have taken effect, or may still do so.
+    /// No answer arrived: the write may have taken effect, or may still do so.
     Unknown,
 }
--- a/crates/trestle-dispatch/src/team.rs
+++ b/crates/trestle-dispatch/src/team.rs
@@ -1,7 +1,7 @@
-//! Teams, their keys and their limits, as a configuration has them.
+//! The teams of a configuration, with their keys and limits.
 //!
-//! Keys are known by digests alone. A digest says nothing of its key, so neither a comparison
-//! that ends early nor a line of log gives anything of one away.
+//! Only digests of keys are stored. A digest reveals nothing about its key, so neither the
+//! duration of a comparison nor a log line leaks a part of a key.
 
 use sha2::{Digest, Sha256};
 use std::{
@@ -11,15 +11,15 @@
 };
 use trestle_core::names::TeamName;
 
-/// Bytes of a digest.
-const BYTES: usize = 32;
+/// Length of a digest in bytes.
+const DIGEST_BYTES: usize = 32;
 
-/// The digest of a team's key. It does not print itself.
+/// The digest of a team's key. Its debug format does not show the digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyDigest([u8; BYTES]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -31,51 +31,51 @@
     }
 }
 
-/// What a caller gave to say who asks.
+/// The credential that a caller sent.
 #[trestle_macros::plain]
 #[derive(Copy, Default)]
 pub enum Credential {
-    /// Nothing.
+    /// The caller sent none.
     #[default]
     Missing,
     /// A key, by its digest.
     Key(KeyDigest),
-    /// Something that is no single key.
+    /// A value that is not exactly one key.
     Malformed,
 }
 
-/// What a team's limit counts.
+/// The unit of a team's limit.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum LimitUnit {
     /// Requests.
     Requests,
-    /// Tokens of a prompt and of the longest answer.
+    /// Tokens of the prompt and of the longest possible answer.
     Tokens {
-        /// What a request counts that does not say how many it has.
+        /// Tokens that are counted for a request that does not report their number.
         default_tokens: u64,
     },
 }
 
-/// What all callers of a team may ask for together.
+/// Limit on the requests of all callers of a team together.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct TeamLimit {
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: LimitUnit,
-    /// Units a second.
+    /// Units per second.
     pub per_s: u64,
-    /// Units that may come at once after a pause.
+    /// Units that may be spent at once after a pause.
     pub burst: u64,
 }
 
 impl TeamLimit {
-    /// Units a millisecond.
+    /// Returns the limit in units per millisecond.
     pub fn units_per_ms(&self) -> f64 {
         self.per_s as f64 / 1e3
     }
 
-    /// What a request with so many tokens counts.
+    /// Returns the units that a request with this number of tokens counts.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
@@ -87,15 +87,15 @@
 /// One team.
 #[trestle_macros::plain]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: TeamName,
-    /// Urgency of its requests, in place of their routes'; 0 goes first.
+    /// Urgency of the team's requests, in place of their routes' urgency; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Its limit, if it has one.
+    /// Limit of the team, if it has one.
     pub limit: Option<TeamLimit>,
 }
 
-/// All teams, found by key and by name.
+/// All teams, indexed by key and by name.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct Teams {
@@ -104,7 +104,7 @@
 }
 
 impl Teams {
-    /// The teams with their keys.
+    /// Creates the index of teams and their keys.
     pub fn new(teams: impl IntoIterator<Item = (Team, BTreeSet<KeyDigest>)>) -> Self {
         let mut all = Self::default();
         for (team, keys) in teams {
@@ -115,22 +115,22 @@
         all
     }
 
-    /// The team that holds a key.
+    /// Returns the team that holds a key.
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
         self.by_key.get(key)
     }
 
-    /// The team with a name.
+    /// Returns the team with a name.
     pub fn get(&self, name: &TeamName) -> Option<&Arc<Team>> {
         self.by_name.get(name)
     }
 
-    /// All teams.
+    /// Iterates over all teams.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Team>> {
         self.by_name.values()
     }
 
-    /// Whether requests need no keys.
+    /// Returns whether there are no teams, so that requests need no keys.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/crates/trestle-dispatch/tests/identity.rs
+++ b/crates/trestle-dispatch/tests/identity.rs
@@ -8,9 +8,9 @@
     team::{Credential, KeyDigest, LimitUnit, Team, TeamLimit, Teams},
 };
 
-const CERTAIN: ConfigCertainty = ConfigCertainty { proves_keys: true, may_lack_newer: false };
-const OLD: ConfigCertainty = ConfigCertainty { proves_keys: false, may_lack_newer: true };
-const LAGGING: ConfigCertainty = ConfigCertainty { proves_keys: true, may_lack_newer: true };
+const CERTAIN: ConfigCertainty = ConfigCertainty { can_accept_keys: true, may_lack_newer: false };
+const OLD: ConfigCertainty = ConfigCertainty { can_accept_keys: false, may_lack_newer: true };
+const LAGGING: ConfigCertainty = ConfigCertainty { can_accept_keys: true, may_lack_newer: true };
 
 fn catalog(teams: &[(&str, &[&str])]) -> Catalog {
     let limits = CallerLimits { header_bytes: 1, body_bytes: 1, header_ms: 1, idle_ms: 1 };
@@ -52,7 +52,7 @@
     match Identity::of(&catalog, &route(is_public), credential, certainty) {
         Ok(identity) => identity.team().map_or("nobody".to_owned(), |team| team.name.to_string()),
         Err(NotAdmitted::UnknownKey) => "unknown".to_owned(),
-        Err(NotAdmitted::Unsure) => "unsure".to_owned(),
+        Err(NotAdmitted::Uncertain) => "unsure".to_owned(),
     }
 }
 
--- a/crates/trestle-dispatch/tests/selection.rs
+++ b/crates/trestle-dispatch/tests/selection.rs
@@ -141,12 +141,12 @@
         let engines = vec![endpoint("x", "z", &["a"]), endpoint("y", "z", &["a"])];
         let mut scene = Scene::new(engines, "a");
         let loadable = Loadable::model(&"a".into());
-        scene.local_view.records.denied(&"x".into(), loadable, NOW_MS);
+        scene.local_view.records.reported_missing(&"x".into(), loadable, NOW_MS);
         for elapsed_ms in [0, 300, 599] {
             let Selection::Send(endpoint) = scene.select(elapsed_ms) else { panic!("not sent") };
             assert_eq!(endpoint.name, "y".into());
         }
-        scene.local_view.records.denied(&"y".into(), Loadable::model(&"a".into()), NOW_MS + 500);
+        scene.local_view.records.reported_missing(&"y".into(), Loadable::model(&"a".into()), NOW_MS + 500);
         let Selection::Send(endpoint) = scene.select(700) else { panic!("not sent") };
         assert_eq!(endpoint.name, "x".into());
     }
@@ -155,7 +155,7 @@
         let with = with_adapters(endpoint("x", "z", &[]), "a", &["n"]);
         let mut scene = Scene::new(vec![with], "a");
         let loadable = Loadable::new(&"a".into(), Some(&"n".into()));
-        scene.local_view.records.denied(&"x".into(), loadable, NOW_MS);
+        scene.local_view.records.reported_missing(&"x".into(), loadable, NOW_MS);
         assert!(matches!(scene.select(0), Selection::Send(_)));
         scene.head.adapter = Some("n".into());
         assert!(!matches!(scene.select(0), Selection::Send(_)));
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -71,7 +71,7 @@
                 Unanswered::NotRun(StatusCode::MISDIRECTED_REQUEST) => match &task.head.model {
                     Some(model) => {
                         let loadable = Loadable::new(model, task.head.adapter.as_ref());
-                        local_view.records.denied(name, loadable, now_ms);
+                        local_view.records.reported_missing(name, loadable, now_ms);
                     }
                     // Its address is another endpoint's now.
                     None => local_view.records.unreachable(name, now_ms),
--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -167,12 +167,12 @@
 ) -> Result<Identity, Failure> {
     let freshness = &daemon.freshness;
     let certainty = ConfigCertainty {
-        proves_keys: freshness.proves_keys(arrived_ms),
+        can_accept_keys: freshness.proves_keys(arrived_ms),
         may_lack_newer: freshness.may_lack_config(arrived_ms),
     };
     Identity::of(catalog, route, credential, certainty).map_err(|not_admitted| match not_admitted {
         NotAdmitted::UnknownKey => Failure::NoKey,
-        NotAdmitted::Unsure => {
+        NotAdmitted::Uncertain => {
             Failure::NotRun { retry_after_ms: UNSURE_RETRY_MS, why: "key_unsure" }
         }
     })
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -345,7 +345,10 @@
             let of = &self.requests[request];
             if let Some(model) = &of.head.model {
                 let loadable = Loadable::new(model, of.head.adapter.as_ref());
-                self.daemons[of.daemon].local_view.records.denied(&name, loadable, now_ms);
+                self.daemons[of.daemon]
+                    .local_view
+                    .records
+                    .reported_missing(&name, loadable, now_ms);
             }
         }
         self.send_failed(request, SendEnd::NotRun);
