--- a/crates/trestle-dispatch/src/backpressure.rs
+++ b/crates/trestle-dispatch/src/backpressure.rs
@@ -345,10 +345,10 @@
     /// Returns the unreadable value of an answer, unless it is the same as before.
     fn unreadable(&mut self, signals: &EndpointSignals) -> Option<SignalChange> {
         let limit = (unreadable_text(&signals.limit_per_ks), "limit");
-        let leaving = (unreadable_text(&signals.draining), "leaving");
+        let draining = (unreadable_text(&signals.draining), "leaving");
         let backoff = (unreadable_text(&signals.backoff_ms), "rest");
         let (text, what) =
-            [limit, leaving, backoff].into_iter().find_map(|(text, what)| Some((text?, what)))?;
+            [limit, draining, backoff].into_iter().find_map(|(text, what)| Some((text?, what)))?;
         let is_new = self.unreadable.as_deref() != Some(text);
         self.unreadable = Some(text.to_owned());
         is_new.then(|| SignalChange::Unreadable { what, text: text.to_owned() })
--- a/crates/trestle-dispatch/src/endpoint_limits.rs
+++ b/crates/trestle-dispatch/src/endpoint_limits.rs
@@ -121,9 +121,9 @@
         state.apply_report(observed, now_ms);
         let Some(per_ks) = state.per_ks_now(now_ms) else { return SendPermit::Lifted };
         match quota_allocator.allocate(incarnation, 1, &plan(per_ks), now_ms) {
-            Allocation::Lent(_) => SendPermit::Lent,
+            Allocation::Granted(_) => SendPermit::Lent,
             Allocation::Refused { in_ms } => SendPermit::Refused { in_ms },
-            Allocation::NotLending => SendPermit::NotLending,
+            Allocation::NotLeading => SendPermit::NotLending,
         }
     }
 
--- a/crates/trestle-dispatch/src/local_demand.rs
+++ b/crates/trestle-dispatch/src/local_demand.rs
@@ -88,16 +88,16 @@
 
     /// Returns whether a waiting request is not yet included in the leader's plan.
     pub fn has_unplanned(&self) -> bool {
-        let told = |demand: &PendingDemand| {
-            demand.first_report.is_some_and(|told| self.last_planned >= told)
+        let is_planned = |demand: &PendingDemand| {
+            demand.first_report.is_some_and(|report| self.last_planned >= report)
         };
-        !self.waiting.values().all(told)
+        !self.waiting.values().all(is_planned)
     }
 
     /// Returns whether the leader's plan includes a waiting request.
     pub fn is_planned(&self, number: u64) -> bool {
-        let told = self.waiting.get(&number).and_then(|demand| demand.first_report);
-        told.is_some_and(|told| self.last_planned >= told)
+        let first_report = self.waiting.get(&number).and_then(|demand| demand.first_report);
+        first_report.is_some_and(|report| self.last_planned >= report)
     }
 
     /// Records that a request was sent to an engine.
--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -178,9 +178,9 @@
 
     /// Records that a caller's request for a model arrived.
     pub fn model_request_arrived(&mut self, service: &ServiceName, model: &ModelName, now_ms: u64) {
-        let asked = self.local_demand_for(service);
-        *asked.arrivals.entry(model.clone()).or_default() += 1;
-        asked.rates.record_arrivals(model, 1, now_ms);
+        let demand = self.local_demand_for(service);
+        *demand.arrivals.entry(model.clone()).or_default() += 1;
+        demand.rates.record_arrivals(model, 1, now_ms);
     }
 
     /// Records that a request was sent to an endpoint.
@@ -215,19 +215,19 @@
         let own = self.records.of(&endpoint.name).in_flight;
         let view = self.replicas.get(&endpoint.service);
         let counted = view.map_or(0, |view| view.running(&endpoint.name));
-        let asked = self.local_demand.get(&endpoint.service);
-        let reported = asked.and_then(|asked| asked.reported_running.get(&endpoint.name));
+        let demand = self.local_demand.get(&endpoint.service);
+        let reported = demand.and_then(|demand| demand.reported_running.get(&endpoint.name));
         (counted + own).saturating_sub(reported.copied().unwrap_or_default()).max(own)
     }
 
-    /// Stores what the leader reports about a service. `planned` is the number of this daemon's
+    /// Stores what the leader reports about a service. `last_planned` is the number of this daemon's
     /// last demand report that the leader's plan includes. Returns whether the update may affect
     /// requests that wait.
     pub fn update_replicas(
         &mut self,
         service: ServiceName,
         view: ReplicaView,
-        planned: u64,
+        last_planned: u64,
         now_ms: u64,
     ) -> bool {
         if view.daemons >= self.daemons || now_ms > self.daemons_ms + COUNT_VALID_MS {
@@ -236,10 +236,10 @@
         }
         self.leader_clients = view.leader_clients.max(1);
         self.received_ms = now_ms;
-        let asked = self.local_demand_for(&service);
-        let is_planned = planned > asked.last_planned;
-        asked.last_planned = planned;
-        let answers_waiting = is_planned && !asked.waiting.is_empty();
+        let demand = self.local_demand_for(&service);
+        let is_planned = last_planned > demand.last_planned;
+        demand.last_planned = last_planned;
+        let answers_waiting = is_planned && !demand.waiting.is_empty();
         let is_changed = self.replicas.get(&service) != Some(&view);
         self.replicas.insert(service, view);
         is_changed || answers_waiting
--- a/crates/trestle-dispatch/src/quota_allocator.rs
+++ b/crates/trestle-dispatch/src/quota_allocator.rs
@@ -67,14 +67,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Allocation {
     /// This number of units may be spent.
-    Lent(u64),
+    Granted(u64),
     /// Too few units are available.
     Refused {
         /// Time until the requester can expect enough units.
         in_ms: u64,
     },
     /// Too few units are available, and this daemon is no leader.
-    NotLending,
+    NotLeading,
 }
 
 impl<K> Default for QuotaAllocator<K> {
@@ -159,10 +159,10 @@
         let requested = units as f64;
         if bucket.units >= requested {
             bucket.units -= requested;
-            return Allocation::Lent(units);
+            return Allocation::Granted(units);
         }
         if groups == 0 {
-            return Allocation::NotLending;
+            return Allocation::NotLeading;
         }
         let earned = plan.units_per_ms * groups as f64;
         let lacking = requested - bucket.units + bucket.refused;
--- a/crates/trestle-dispatch/tests/common/large_configuration.rs
+++ b/crates/trestle-dispatch/tests/common/large_configuration.rs
@@ -1,6 +1,6 @@
-//! Large configurations as texts.
+//! Texts of large configurations.
 
-/// A configuration with so many routes, which like its models all have names of their own, and
+/// Returns a configuration with `count` routes, which like its models all have unique names, and
 /// a team with a key.
 pub(crate) fn configuration(version: u64, count: u32, timeout_ms: u64, key: &str) -> Vec<u8> {
     let name = |number: u32| number.wrapping_mul(2_654_435_761);
--- a/crates/trestle-dispatch/tests/common/mod.rs
+++ b/crates/trestle-dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints and configurations that several tests use.
+//! Endpoints, engines and routes that several tests use.
 
 #![allow(dead_code)] // Each test file uses its own part.
 
@@ -10,7 +10,7 @@
     route::{Route, RouteKind, Target},
 };
 
-/// An endpoint of service `s` in a failure domain, holding models.
+/// Returns an endpoint of service `s` in a failure domain that holds models.
 pub(crate) fn endpoint(name: &str, domain: &str, models: &[&str]) -> Endpoint {
     let held = models.iter().map(|model| (ModelName::from(*model), BTreeSet::new()));
     Endpoint {
@@ -28,20 +28,20 @@
     }
 }
 
-/// An endpoint that also has copies of models on its disk.
+/// Returns the endpoint with copies of models on its disk.
 pub(crate) fn with_disk(mut endpoint: Endpoint, models: &[&str]) -> Endpoint {
     endpoint.on_disk = models.iter().map(|model| ModelName::from(*model)).collect();
     endpoint
 }
 
-/// An endpoint whose model also has adapters loaded.
+/// Returns the endpoint with adapters of a model loaded.
 pub(crate) fn with_adapters(mut endpoint: Endpoint, model: &str, adapters: &[&str]) -> Endpoint {
     let adapters = adapters.iter().map(|adapter| AdapterName::from(*adapter)).collect();
     endpoint.held.insert(model.into(), adapters);
     endpoint
 }
 
-/// Engines with room for three of ten models, and for two adapters.
+/// Returns the capacity of engines that hold three of ten models and two adapters.
 pub(crate) fn spec() -> Arc<EngineSpec> {
     let model = ModelSpec {
         weights_mb: 70,
@@ -60,7 +60,7 @@
     })
 }
 
-/// A route of host `h` to service `s`.
+/// Returns a route of host `h` to service `s`.
 pub(crate) fn route(prefix: &str, kind: RouteKind) -> Route {
     Route {
         name: prefix.to_owned(),
--- a/crates/trestle-dispatch/tests/crashes.rs
+++ b/crates/trestle-dispatch/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints ended: who is refused, and how daemons agree on it.
+//! Requests under which endpoints crashed: which are rejected, and how daemons agree on it.
 
 mod common;
 
@@ -14,19 +14,19 @@
 };
 
 const MINUTE_MS: u64 = 60_000;
-/// Time for which a request is refused at first.
+/// Time for which a request is rejected at first.
 const FIRST_MS: u64 = 30_000;
 
 fn request(number: u8) -> Fingerprint {
     Fingerprint::from_bytes([number; 16])
 }
 
-fn incarnation(name: &str, born_ms: u64) -> Incarnation {
-    Incarnation { name: name.into(), started_unix_ms: born_ms }
+fn incarnation(name: &str, started_unix_ms: u64) -> Incarnation {
+    Incarnation { name: name.into(), started_unix_ms: started_unix_ms }
 }
 
-/// One request under which so many endpoints ended, a second apart.
-fn ended(count: usize) -> Crashes {
+/// Returns a record in which `count` endpoints crashed under one request, a second apart.
+fn crashed_under(count: usize) -> Crashes {
     let mut crashes = Crashes::default();
     for number in 0..count {
         crashes.record_crash(
@@ -50,24 +50,24 @@
 }
 
 cases! {
-    a_request_is_refused_from_the_third_end_on => {
-        assert_eq!(ended(MAX_CRASHES - 1).rejected_for_ms(request(1), 3_000), None);
-        let crashes = ended(MAX_CRASHES);
+    a_request_is_rejected_from_the_third_crash_on => {
+        assert_eq!(crashed_under(MAX_CRASHES - 1).rejected_for_ms(request(1), 3_000), None);
+        let crashes = crashed_under(MAX_CRASHES);
         assert_eq!(crashes.rejected_for_ms(request(1), 2_000), Some(FIRST_MS));
         assert_eq!(crashes.rejected_for_ms(request(2), 2_000), None);
     }
 
-    an_endpoint_that_ends_twice_in_two_lives_counts_twice => {
+    each_incarnation_that_crashes_counts => {
         let mut crashes = Crashes::default();
-        for (born_ms, at_ms) in [(10, 1_000), (10, 1_050), (20, 5_000), (15, 9_000)] {
-            crashes.record_crash(request(1), &incarnation("e", born_ms), at_ms);
+        for (started_unix_ms, at_ms) in [(10, 1_000), (10, 1_050), (20, 5_000), (15, 9_000)] {
+            crashes.record_crash(request(1), &incarnation("e", started_unix_ms), at_ms);
         }
         assert!(crashes.rejected_for_ms(request(1), 9_000).is_some());
         assert_eq!(crashes.changes_since(0, 9_000).0[0].crashes.len(), 3);
     }
 
-    one_whole_answer_shows_that_a_request_ends_nothing => {
-        let mut crashes = ended(1);
+    one_complete_answer_clears_a_request => {
+        let mut crashes = crashed_under(1);
         crashes.served(request(1));
         for number in 1..5 {
             crashes.record_crash(request(1), &incarnation(&format!("e{number}"), 0), 1_000);
@@ -75,19 +75,19 @@
         assert_eq!(crashes.rejected_for_ms(request(1), 1_000), None);
     }
 
-    it_is_let_through_again_ever_more_seldom => {
-        let mut crashes = ended(MAX_CRASHES);
+    a_rejected_request_is_admitted_at_growing_intervals => {
+        let mut crashes = crashed_under(MAX_CRASHES);
         let mut now_ms = 2_000;
-        for (number, refused_ms) in [FIRST_MS, 4 * FIRST_MS, 10 * MINUTE_MS * 4 / 5, 10 * MINUTE_MS, 10 * MINUTE_MS].into_iter().enumerate() {
-            assert_eq!(crashes.rejected_for_ms(request(1), now_ms), Some(refused_ms), "{number}");
-            now_ms += refused_ms;
+        for (number, rejected_ms) in [FIRST_MS, 4 * FIRST_MS, 10 * MINUTE_MS * 4 / 5, 10 * MINUTE_MS, 10 * MINUTE_MS].into_iter().enumerate() {
+            assert_eq!(crashes.rejected_for_ms(request(1), now_ms), Some(rejected_ms), "{number}");
+            now_ms += rejected_ms;
             assert_eq!(crashes.rejected_for_ms(request(1), now_ms), None);
             crashes.record_crash(request(1), &incarnation(&format!("later-{number}"), 0), now_ms);
         }
     }
 
-    /// A rack lost its power while many callers asked for the same page at all of its servers.
-    what_was_running_everywhere_is_refused_no_longer_than_until_one_answer => {
+    /// A rack loses power while many callers request the same page from all of its servers.
+    requests_that_ran_during_a_power_loss_are_rejected_until_one_answer => {
         let mut crashes = Crashes::default();
         for number in 0..40 {
             crashes.record_crash(request(1), &incarnation(&format!("e{number}"), 0), 1_000 + 10 * number);
@@ -97,26 +97,26 @@
         other.apply_reports(&crashes.restricted_reports(1_400).0, 1_400);
         let (_, before) = crashes.restricted_reports(1_400);
         crashes.served(request(1));
-        let (told, number) = crashes.restricted_reports(1_500);
-        assert!(number > before, "the answer is news for all who refuse it");
-        other.apply_reports(&told, 1_500);
+        let (reported, number) = crashes.restricted_reports(1_500);
+        assert!(number > before, "the answer must be reported to all daemons that reject the request");
+        other.apply_reports(&reported, 1_500);
         assert_eq!(other.rejected_for_ms(request(1), 1_500), None);
     }
 
-    daemons_let_a_request_through_one_after_the_other => {
-        let mut late = Crashes::with_delay(3_000);
-        late.apply_reports(&ended(MAX_CRASHES).restricted_reports(2_000).0, 2_000);
-        assert_eq!(late.rejected_for_ms(request(1), 2_000), Some(FIRST_MS + 3_000));
+    daemons_admit_a_request_at_different_times => {
+        let mut delayed = Crashes::with_delay(3_000);
+        delayed.apply_reports(&crashed_under(MAX_CRASHES).restricted_reports(2_000).0, 2_000);
+        assert_eq!(delayed.rejected_for_ms(request(1), 2_000), Some(FIRST_MS + 3_000));
     }
 
-    it_is_forgotten_after_twice_that => {
-        let mut crashes = ended(MAX_CRASHES);
+    a_request_is_forgotten_after_the_expiry_time => {
+        let mut crashes = crashed_under(MAX_CRASHES);
         crashes.record_crash(request(2), &incarnation("e", 0), 2_000 + 21 * MINUTE_MS);
         assert_eq!(crashes.changes_since(0, 0).0.len(), 1);
     }
 
-    what_is_remembered_is_bounded_and_what_ended_most_stays => {
-        let mut crashes = ended(MAX_CRASHES);
+    the_record_is_bounded_and_keeps_requests_with_most_crashes => {
+        let mut crashes = crashed_under(MAX_CRASHES);
         for number in 0..10_000_u64 {
             let mut bytes = [0; 16];
             bytes[..8].copy_from_slice(&number.to_le_bytes());
@@ -127,9 +127,9 @@
         assert!(crashes.rejected_for_ms(request(1), 13_000).is_some());
     }
 
-    /// Three daemons each see one end; whatever way their news take, all refuse the request,
-    /// and then nobody has news for another.
-    daemons_agree_whatever_way_their_news_take => {
+    /// Three daemons each see one crash. In whatever order they exchange reports, all of them
+    /// reject the request, and after that none has anything to report.
+    daemons_agree_in_any_order_of_reports => {
         for seed in 0..200 {
             let mut random = fastrand::Rng::with_seed(seed);
             let mut daemons: Vec<Crashes> = (0..3).map(|_| Crashes::default()).collect();
@@ -140,18 +140,18 @@
                     daemon.record_crash(request(1), &incarnation(&format!("f{number}"), 0), at_ms + 3_000);
                 }
             }
-            let mut told = [[0; 3]; 3];
+            let mut reported = [[0; 3]; 3];
             let mut exchanges = 0;
-            let mut quiet = 0;
-            while quiet < 60 {
+            let mut idle_exchanges = 0;
+            while idle_exchanges < 60 {
                 let (from, to) = (random.usize(0..3), random.usize(0..3));
                 let now_ms = 10_000 + random.u64(0..1_500);
-                let (news, number) = daemons[from].changes_since(told[from][to], now_ms);
-                told[from][to] = number;
-                quiet = if news.is_empty() { quiet + 1 } else { 0 };
-                daemons[to].apply_reports(&news, now_ms + random.u64(0..800));
+                let (reports, number) = daemons[from].changes_since(reported[from][to], now_ms);
+                reported[from][to] = number;
+                idle_exchanges = if reports.is_empty() { idle_exchanges + 1 } else { 0 };
+                daemons[to].apply_reports(&reports, now_ms + random.u64(0..800));
                 exchanges += 1;
-                assert!(exchanges < 1_000, "seed {seed}: news without end");
+                assert!(exchanges < 1_000, "seed {seed}: the exchange of reports does not end");
             }
             for daemon in &daemons {
                 assert!(daemon.rejected_for_ms(request(1), 12_000).is_some(), "seed {seed}");
@@ -159,16 +159,16 @@
         }
     }
 
-    what_is_refused_is_told_once_to_each_asker => {
-        let mut crashes = ended(MAX_CRASHES);
+    restricted_requests_are_reported_once_to_each_client => {
+        let mut crashes = crashed_under(MAX_CRASHES);
         let (refused, number) = crashes.restricted_reports(2_000);
         assert_eq!(refused.len(), 1);
         assert!(number > 0);
         crashes.record_crash(request(2), &incarnation("e", 0), 2_500);
-        assert_eq!(crashes.restricted_reports(2_500).1, number, "one end is no news for askers");
+        assert_eq!(crashes.restricted_reports(2_500).1, number, "one crash is not reported to clients");
     }
 
-    connections_that_break_make_no_end => {
+    lost_connections_do_not_prove_a_crash => {
         let mut unresolved_requests = UnresolvedRequests::default();
         assert_eq!(unresolved_requests.connection_lost(&incarnation("e", 0), request(1), 0), ConnectionLoss::CheckNeeded);
         assert_eq!(unresolved_requests.connection_lost(&incarnation("e", 0), request(2), 1), ConnectionLoss::CheckRunning);
@@ -179,34 +179,35 @@
         assert_eq!(unresolved_requests.connection_lost(&incarnation("e", 7), request(3), 2), ConnectionLoss::CheckNeeded);
     }
 
-    /// It was listed anew before its connections were seen to break.
-    an_endpoint_that_started_again_at_once_has_ended => {
+    /// The new incarnation was listed before the connections to the earlier one were lost.
+    an_endpoint_that_restarted_at_once_counts_as_terminated => {
         let mut local_view = local_view();
         let before = endpoint("e", "z", &["a"]);
-        let mut again = before.clone();
-        again.started_unix_ms = 20;
-        local_view.directory.apply_written(again);
+        let mut restarted = before.clone();
+        restarted.started_unix_ms = 20;
+        local_view.directory.apply_written(restarted);
         assert_eq!(local_view.connection_lost(&before, request(1), 0), Some(ConnectionLoss::Terminated));
         assert_eq!(local_view.connection_lost(&before, request(2), 1), Some(ConnectionLoss::Terminated));
     }
 
-    /// What breaks at an endpoint that leaves, or has left the list, is its planned end.
-    endpoints_that_leave_end_under_nothing => {
+    /// A connection that is lost at a draining endpoint, or at one that is no longer listed, is
+    /// expected.
+    draining_endpoints_do_not_blame_requests => {
         let mut local_view = local_view();
         let known = endpoint("e", "z", &["a"]);
         assert_eq!(local_view.connection_lost(&known, request(1), 0), Some(ConnectionLoss::CheckNeeded));
-        let mut leaving = known.clone();
-        leaving.is_draining = true;
-        leaving.entry_number = 2;
-        local_view.directory.apply_written(leaving);
+        let mut draining = known.clone();
+        draining.is_draining = true;
+        draining.entry_number = 2;
+        local_view.directory.apply_written(draining);
         assert_eq!(local_view.connection_lost(&known, request(2), 1), None);
         local_view.directory.apply_removal(&known.name, 2);
         assert_eq!(local_view.connection_lost(&known, request(3), 3), None);
     }
 
-    /// Its entry is removed, it goes on with what runs there, and its address refuses connections
-    /// once it has ended.
-    endpoints_that_leave_without_a_word_end_under_nothing => {
+    /// The entry is removed while the endpoint finishes its running requests; after it has
+    /// stopped, its address refuses connections.
+    endpoints_that_stop_unannounced_do_not_blame_requests => {
         let mut local_view = local_view();
         let known = endpoint("e", "z", &["a"]);
         local_view.track_request(&known, request(1));
@@ -218,8 +219,8 @@
         assert!(!local_view.request_abandoned(&known, request(1), 4));
     }
 
-    /// Another server has come to its address while its own entry still stands.
-    an_endpoint_whose_address_is_anothers_has_ended_under_what_ran_there => {
+    /// Another server has the endpoint's address while the endpoint's own entry is still listed.
+    an_endpoint_replaced_at_its_address_blames_its_running_requests => {
         let mut local_view = local_view();
         let known = endpoint("e", "z", &["a"]);
         local_view.track_request(&known, request(1));
@@ -229,10 +230,10 @@
         assert_eq!(requests, BTreeSet::from([request(1)]));
         new.address.set_port(9_001);
         assert!(local_view.replaced_by(&new).is_empty());
-        assert!(local_view.request_abandoned(&known, request(1), 2), "it was open all the while");
+        assert!(local_view.request_abandoned(&known, request(1), 2), "the request was open until then");
     }
 
-    attempts_of_one_request_have_one_fingerprint => {
+    all_attempts_of_a_request_have_the_same_fingerprint => {
         let content = RequestContent {
             method: "POST",
             host: "h",
--- a/crates/trestle-dispatch/tests/directory.rs
+++ b/crates/trestle-dispatch/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list of live endpoints: lapses, returns, and endpoints that leave.
+//! The directory of live endpoints: lapsed entries, entries that return, and draining endpoints.
 
 mod common;
 
@@ -9,10 +9,10 @@
     endpoint::{Endpoint, Incarnation},
 };
 
-const LEAVING_MS: u64 = 2_000;
+const DRAINING_MS: u64 = 2_000;
 
-fn listed(names: &[&str]) -> Directory {
-    let mut directory = Directory::new(LEAVING_MS);
+fn listing_of(names: &[&str]) -> Directory {
+    let mut directory = Directory::new(DRAINING_MS);
     directory.record_read(true, 0);
     directory.replace_all(names.iter().map(|name| endpoint(name, "z", &[])).collect(), 0);
     directory
@@ -32,14 +32,14 @@
 }
 
 cases! {
-    a_removal_is_believed_at_once => {
-        let mut directory = listed(&["x", "y"]);
+    a_removal_takes_effect_at_once => {
+        let mut directory = listing_of(&["x", "y"]);
         directory.apply_removal(&name("x"), 10_000);
         assert_eq!(usable(&directory), ["y"]);
     }
 
-    an_entry_that_lapsed_while_the_store_was_away_may_come_back => {
-        let mut directory = listed(&["x", "y"]);
+    an_entry_that_lapsed_during_a_store_outage_may_return => {
+        let mut directory = listing_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 9_000);
         directory.apply_removal(&name("x"), 9_010);
@@ -50,8 +50,8 @@
         assert_eq!(usable(&directory), ["x", "y"]);
     }
 
-    one_that_does_not_come_back_counts_as_gone => {
-        let mut directory = listed(&["x", "y"]);
+    a_lapsed_entry_that_does_not_return_is_dropped => {
+        let mut directory = listing_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 9_000);
         directory.apply_removal(&name("x"), 9_010);
@@ -59,16 +59,16 @@
         assert_eq!(usable(&directory), ["y"]);
     }
 
-    // DRAIN, hunt-cb96-47: removed 3.4 s after the store's return and kept for 2.2 s more.
-    a_removal_long_after_the_return_is_believed_at_once => {
-        let mut directory = listed(&["x", "y"]);
+    // An entry that was removed 3.4 s after the store's return was kept for 2.2 s more.
+    a_removal_long_after_the_outage_takes_effect_at_once => {
+        let mut directory = listing_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 11_600);
         directory.apply_removal(&name("x"), 15_010);
         assert_eq!(usable(&directory), ["y"]);
     }
 
-    a_lapsed_entry_is_never_kept_as_long_as_a_leaving_one_may_be_used => {
+    a_lapsed_entry_is_kept_for_less_than_the_draining_time => {
         let mut directory = Directory::new(1_000);
         directory.record_read(true, 0);
         directory.replace_all(vec![endpoint("x", "z", &[])], 0);
@@ -79,20 +79,21 @@
         assert!(usable(&directory).is_empty());
     }
 
-    // Entries lapse after some seconds of silence only: what is removed after a short time without
-    // the store has left, and may have done so when the list was last known.
-    what_is_removed_after_a_short_time_without_the_store_has_left => {
-        let mut directory = listed(&["x", "y"]);
+    // Entries lapse only after some seconds without a heartbeat: an endpoint whose entry is
+    // removed after a short outage of the store has stopped, possibly when the list was last
+    // known.
+    an_entry_removed_after_a_short_outage_is_dropped => {
+        let mut directory = listing_of(&["x", "y"]);
         directory.record_read(true, 10_000);
         directory.record_read(false, 10_400);
         directory.record_read(true, 10_700);
         directory.apply_removal(&name("x"), 10_800);
-        assert_eq!(directory.drop_lapsed(10_000 + LEAVING_MS - 300), [name("x")]);
+        assert_eq!(directory.drop_lapsed(10_000 + DRAINING_MS - 300), [name("x")]);
         assert_eq!(usable(&directory), ["y"]);
     }
 
-    one_that_comes_back_with_an_entry_of_before_its_removal_is_gone => {
-        let mut directory = listed(&[]);
+    an_entry_written_before_the_removal_is_rejected => {
+        let mut directory = listing_of(&[]);
         let mut entry = endpoint("x", "z", &[]);
         (entry.started_unix_ms, entry.entry_number) = (10, 7);
         assert!(directory.apply_written(entry.clone()));
@@ -107,19 +108,19 @@
         assert!(!directory.is_usable(&entry.incarnation()));
     }
 
-    where_starts_cannot_be_told_apart_numbers_may_begin_anew => {
-        let mut directory = listed(&["x"]);
+    without_start_times_message_numbers_may_restart => {
+        let mut directory = listing_of(&["x"]);
         directory.apply_removal(&name("x"), 10_000);
         assert!(directory.apply_written(endpoint("x", "z", &[])));
         assert_eq!(usable(&directory), ["x"]);
     }
 
-    an_endpoint_that_was_seen_leaving_stays_so => {
-        let mut directory = listed(&["x"]);
-        let mut leaving = endpoint("x", "z", &[]);
-        leaving.is_draining = true;
-        leaving.entry_number = 5;
-        directory.apply_written(leaving);
+    a_draining_endpoint_stays_draining => {
+        let mut directory = listing_of(&["x"]);
+        let mut draining = endpoint("x", "z", &[]);
+        draining.is_draining = true;
+        draining.entry_number = 5;
+        directory.apply_written(draining);
         assert!(usable(&directory).is_empty());
         let mut late = endpoint("x", "z", &[]);
         late.entry_number = 6;
@@ -127,17 +128,17 @@
         assert!(usable(&directory).is_empty());
     }
 
-    no_entry_undoes_what_an_endpoint_said_in_an_answer => {
-        let mut directory = listed(&["x", "y"]);
+    no_entry_reverts_a_signal_in_an_answer => {
+        let mut directory = listing_of(&["x", "y"]);
         let incarnation = endpoint("x", "z", &[]).incarnation();
-        assert!(directory.mark_draining(&incarnation), "it is news");
-        assert!(!directory.mark_draining(&incarnation), "it is no news any more");
+        assert!(directory.mark_draining(&incarnation), "the endpoint was not draining before");
+        assert!(!directory.mark_draining(&incarnation), "the endpoint was draining already");
         assert_eq!(usable(&directory), ["y"]);
         directory.apply_written(Endpoint { entry_number: 9, ..endpoint("x", "z", &[]) });
         directory.apply_listed(Endpoint { entry_number: 10, ..endpoint("x", "z", &[]) });
         directory.replace_all(vec![endpoint("x", "z", &[]), endpoint("y", "z", &[])], 100);
         assert_eq!(usable(&directory), ["y"]);
-        // It is not even listed yet where the answer is heard.
+        // The endpoint is not listed yet when its answer arrives.
         let early = Incarnation { name: name("early"), started_unix_ms: 7 };
         assert!(directory.mark_draining(&early));
         directory.apply_written(Endpoint { started_unix_ms: 7, ..endpoint("early", "z", &[]) });
@@ -146,8 +147,8 @@
         assert_eq!(usable(&directory), ["early", "y"]);
     }
 
-    an_older_message_does_not_undo_a_newer_one => {
-        let mut directory = listed(&[]);
+    an_older_message_does_not_replace_a_newer_one => {
+        let mut directory = listing_of(&[]);
         let mut newer = endpoint("x", "z", &["a"]);
         newer.entry_number = 9;
         directory.apply_written(newer);
@@ -158,39 +159,40 @@
         assert!(held.contains_key("a") && !held.contains_key("b"));
     }
 
-    // Read in the code: the entry of an endpoint that had started again under its name counted
-    // as an older message, since its numbers start anew, and one that had been leaving stayed so.
-    one_that_started_again_is_what_its_new_entry_says => {
-        let mut directory = listed(&["x"]);
-        let mut leaving = endpoint("x", "z", &["a"]);
-        (leaving.is_draining, leaving.entry_number, leaving.started_unix_ms) = (true, 500, 10);
-        directory.apply_written(leaving);
-        let mut again = endpoint("x", "z", &["b"]);
-        (again.entry_number, again.started_unix_ms) = (1, 20);
-        directory.apply_written(again.clone());
+    // Message numbers restart with each incarnation. The entry of an endpoint that restarted
+    // under its name therefore counted as an older message, and an endpoint that had been
+    // draining stayed so.
+    a_restarted_endpoint_is_described_by_its_new_entry => {
+        let mut directory = listing_of(&["x"]);
+        let mut draining = endpoint("x", "z", &["a"]);
+        (draining.is_draining, draining.entry_number, draining.started_unix_ms) = (true, 500, 10);
+        directory.apply_written(draining);
+        let mut restarted = endpoint("x", "z", &["b"]);
+        (restarted.entry_number, restarted.started_unix_ms) = (1, 20);
+        directory.apply_written(restarted.clone());
         assert_eq!(usable(&directory), ["x"]);
-        assert_eq!(directory.get(&name("x")).expect("listed"), &again);
+        assert_eq!(directory.get(&name("x")).expect("listed"), &restarted);
     }
 
-    one_that_started_again_with_its_clock_set_back_is_as_new => {
-        let mut directory = listed(&[]);
+    a_restart_with_an_earlier_clock_counts_as_new => {
+        let mut directory = listing_of(&[]);
         let mut before = endpoint("x", "z", &["a"]);
         (before.entry_number, before.started_unix_ms) = (500, 90_000);
         directory.apply_written(before);
-        let mut again = endpoint("x", "z", &[]);
-        (again.entry_number, again.started_unix_ms) = (1, 20);
-        directory.apply_written(again.clone());
-        assert_eq!(directory.get(&name("x")), Some(&again));
+        let mut restarted = endpoint("x", "z", &[]);
+        (restarted.entry_number, restarted.started_unix_ms) = (1, 20);
+        directory.apply_written(restarted.clone());
+        assert_eq!(directory.get(&name("x")), Some(&restarted));
     }
 
-    what_is_passed_on_of_one_that_started_again_has_nothing_of_before => {
-        let mut directory = listed(&[]);
+    a_relayed_restart_keeps_nothing_of_the_earlier_incarnation => {
+        let mut directory = listing_of(&[]);
         let mut before = endpoint("x", "z", &["a"]);
         (before.entry_number, before.started_unix_ms) = (500, 10);
         directory.apply_written(before);
-        let mut again = endpoint("x", "z", &[]).identity();
-        again.started_unix_ms = 20;
-        directory.apply_listed(again);
+        let mut restarted = endpoint("x", "z", &[]).identity();
+        restarted.started_unix_ms = 20;
+        directory.apply_listed(restarted);
         assert!(directory.get(&name("x")).expect("listed").held.is_empty());
     }
 }
--- a/crates/trestle-dispatch/tests/identity.rs
+++ b/crates/trestle-dispatch/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks, as far as the configuration and its age tell.
+//! The identity of callers, depending on the configuration and its age.
 
 use std::collections::BTreeMap;
 use trestle_dispatch::{
@@ -9,7 +9,7 @@
 };
 
 const CERTAIN: ConfigCertainty = ConfigCertainty { can_accept_keys: true, may_lack_newer: false };
-const OLD: ConfigCertainty = ConfigCertainty { can_accept_keys: false, may_lack_newer: true };
+const OUTDATED: ConfigCertainty = ConfigCertainty { can_accept_keys: false, may_lack_newer: true };
 const LAGGING: ConfigCertainty = ConfigCertainty { can_accept_keys: true, may_lack_newer: true };
 
 fn catalog(teams: &[(&str, &[&str])]) -> Catalog {
@@ -63,29 +63,30 @@
 }
 
 cases! {
-    each_key_of_a_team_counts: false, key("r2"), CERTAIN => "red";
-    no_key_is_not_let_in: false, Credential::Missing, CERTAIN => "unknown";
-    something_else_is_not_let_in: false, Credential::Malformed, CERTAIN => "unknown";
-    an_unknown_key_is_not_let_in: false, key("x"), CERTAIN => "unknown";
-    nobody_is_let_in_on_an_open_route: true, Credential::Missing, CERTAIN => "nobody";
-    an_unknown_key_changes_nothing_on_an_open_route: true, key("x"), CERTAIN => "nobody";
-    a_team_is_known_on_an_open_route: true, key("b1"), CERTAIN => "blue";
-    a_key_that_may_have_been_taken_away_does_not_count: false, key("r1"), OLD => "unsure";
-    a_key_that_may_have_been_given_is_not_called_unknown: false, key("x"), LAGGING => "unsure";
-    whoever_gives_no_key_is_rejected_however_old_all_is: false, Credential::Missing, OLD => "unknown";
-    open_routes_go_on_however_old_all_is: true, Credential::Missing, OLD => "nobody";
+    each_key_of_a_team_is_accepted: false, key("r2"), CERTAIN => "red";
+    a_missing_key_is_rejected: false, Credential::Missing, CERTAIN => "unknown";
+    a_malformed_key_is_rejected: false, Credential::Malformed, CERTAIN => "unknown";
+    an_unknown_key_is_rejected: false, key("x"), CERTAIN => "unknown";
+    a_public_route_needs_no_key: true, Credential::Missing, CERTAIN => "nobody";
+    a_public_route_ignores_unknown_keys: true, key("x"), CERTAIN => "nobody";
+    a_public_route_recognizes_teams: true, key("b1"), CERTAIN => "blue";
+    a_key_that_may_have_been_revoked_is_not_accepted: false, key("r1"), OUTDATED => "unsure";
+    a_key_that_may_have_been_issued_is_not_called_unknown: false, key("x"), LAGGING => "unsure";
+    a_missing_key_is_rejected_with_any_configuration: false, Credential::Missing, OUTDATED => "unknown";
+    public_routes_work_with_any_configuration: true, Credential::Missing, OUTDATED => "nobody";
 }
 
 #[test]
-fn without_teams_nobody_is_asked() {
-    let identity = Identity::of(&catalog(&[]), &route(false), key("x"), OLD);
+fn without_teams_no_key_is_required() {
+    let identity = Identity::of(&catalog(&[]), &route(false), key("x"), OUTDATED);
     assert_eq!(identity, Ok(Identity::NotRequired));
 }
 
 #[test]
-fn a_key_that_was_taken_away_or_given_to_others_no_longer_counts() {
+fn a_key_that_was_revoked_or_reassigned_is_no_longer_valid() {
     let before = catalog(&[("red", &["r1", "r2"])]);
-    let identity = Identity::of(&before, &route(false), key("r1"), CERTAIN).expect("it is known");
+    let identity =
+        Identity::of(&before, &route(false), key("r1"), CERTAIN).expect("the key is known");
     assert!(identity.is_still_valid(&before));
     assert!(!identity.is_still_valid(&catalog(&[("red", &["r2"])])));
     assert!(!identity.is_still_valid(&catalog(&[("red", &["r2"]), ("blue", &["r1"])])));
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn a_digest_does_not_print_itself() {
+fn the_debug_format_hides_digests() {
     let credential = key("topsecret");
     assert_eq!(format!("{credential:?}"), "Key(KeyDigest)");
 }
 
 #[test]
-fn what_a_request_counts_depends_on_the_unit() {
+fn the_cost_of_a_request_depends_on_the_unit() {
     let limit = |unit| TeamLimit { unit, per_s: 1, burst: 1 };
     assert_eq!(limit(LimitUnit::Requests).cost(Some(900)), 1);
     assert_eq!(limit(LimitUnit::Tokens { default_tokens: 200 }).cost(Some(900)), 900);
--- a/crates/trestle-dispatch/tests/listing.rs
+++ b/crates/trestle-dispatch/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints, heard of from the store and from leaders, in any order.
+//! The list of endpoints, received from the store and from leaders in any order.
 
 mod common;
 
@@ -53,18 +53,18 @@
     LocalView::new("z".into(), 2_000, RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 10 })
 }
 
-/// Takes news as a daemon does.
-fn hear(local_view: &mut LocalView, news: ListUpdate, source: Source) {
-    let fresh = local_view.listing.apply(news, source);
-    for entry in fresh.written {
+/// Applies an update as a daemon does.
+fn apply_update(local_view: &mut LocalView, update: ListUpdate, source: Source) {
+    let changes = local_view.listing.apply(update, source);
+    for entry in changes.written {
         local_view.apply_entry(entry, source);
     }
-    for (key, _) in fresh.removed {
+    for (key, _) in changes.removed {
         local_view.directory.apply_removal(&key.as_str().into(), 10_000);
     }
 }
 
-/// Endpoints that a daemon may send to.
+/// Returns the endpoints that a daemon may send requests to.
 fn usable(local_view: &LocalView) -> Vec<String> {
     let service = "s".into();
     local_view.directory.usable(&service).map(|endpoint| endpoint.name.to_string()).collect()
@@ -75,26 +75,26 @@
 }
 
 cases! {
-    nothing_is_news_twice => {
+    an_update_is_new_only_once => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
-        let news = partial(vec![written("b", 2, 7)], &[("a", 8)], 8);
-        let fresh = listing.apply(news.clone(), Source::Leader);
-        assert_eq!((fresh.written.len(), fresh.removed.len()), (1, 1));
-        let again = listing.apply(news, Source::Leader);
+        let update = partial(vec![written("b", 2, 7)], &[("a", 8)], 8);
+        let changes = listing.apply(update.clone(), Source::Leader);
+        assert_eq!((changes.written.len(), changes.removed.len()), (1, 1));
+        let again = listing.apply(update, Source::Leader);
         assert_eq!((again.written.len(), again.removed.len()), (0, 0));
     }
 
-    an_older_whole_table_does_not_undo_anything => {
+    an_older_whole_list_changes_nothing => {
         let mut listing = Listing::default();
         let table = Table::from([("a".to_owned(), (1, 5)), ("b".to_owned(), (1, 9))]);
         listing.apply(whole(&table, 9), Source::Store);
-        let fresh = listing.apply(whole(&one("a", 0, 3), 4), Source::Store);
-        assert!(!fresh.is_whole);
+        let changes = listing.apply(whole(&one("a", 0, 3), 4), Source::Store);
+        assert!(!changes.is_whole);
         assert_eq!(content(&listing), BTreeMap::from([("a".to_owned(), 1), ("b".to_owned(), 1)]));
     }
 
-    nor_does_it_bring_back_what_was_removed => {
+    an_older_whole_list_restores_no_removed_entry => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         listing.apply(partial(vec![], &[("a", 8)], 8), Source::Store);
@@ -102,29 +102,29 @@
         assert!(content(&listing).is_empty());
     }
 
-    nor_what_a_leader_said_was_removed => {
+    an_older_whole_list_restores_no_entry_removed_by_a_leader => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         listing.apply(partial(vec![], &[("a", 8)], 8), Source::Leader);
-        let fresh = listing.apply(whole(&one("a", 1, 5), 7), Source::Store);
-        assert!(fresh.written.is_empty());
+        let changes = listing.apply(whole(&one("a", 1, 5), 7), Source::Store);
+        assert!(changes.written.is_empty());
         assert!(content(&listing).is_empty());
     }
 
-    // A whole list without `a` had made the copy forget its removal.
-    nothing_from_before_a_whole_list_brings_back_what_is_not_in_it => {
+    // A whole list without `a` had made the copy forget the removal of `a`.
+    no_update_older_than_a_whole_list_restores_a_missing_entry => {
         for source in [Source::Store, Source::Leader] {
             let mut listing = Listing::default();
             listing.apply(whole(&one("a", 1, 55), 60), Source::Store);
             listing.apply(whole(&Table::new(), 100), Source::Store);
-            let fresh = listing.apply(partial(vec![written("a", 1, 55)], &[], 60), source);
-            assert!(fresh.written.is_empty());
+            let changes = listing.apply(partial(vec![written("a", 1, 55)], &[], 60), source);
+            assert!(changes.written.is_empty());
             assert!(content(&listing).is_empty());
         }
     }
 
-    // The endpoint had come and gone while an answer of the store was on its way.
-    nor_an_answer_that_was_made_before_a_leader_said_that_it_came_and_went => {
+    // The endpoint was added and removed while an answer of the store was in transit.
+    an_older_answer_restores_no_entry_that_a_leader_reported_removed => {
         let mut listing = Listing::default();
         listing.apply(whole(&Table::new(), 50), Source::Store);
         listing.apply(partial(vec![], &[("a", 70)], 80), Source::Leader);
@@ -132,25 +132,25 @@
         assert!(content(&listing).is_empty());
     }
 
-    a_whole_list_names_what_is_gone_by_its_removal => {
+    a_whole_list_reports_missing_entries_as_removed => {
         let mut listing = Listing::default();
         let table = Table::from([("a".to_owned(), (1, 5)), ("b".to_owned(), (1, 9))]);
         listing.apply(whole(&table, 9), Source::Store);
-        let fresh = listing.apply(whole(&one("b", 1, 9), 12), Source::Leader);
-        assert_eq!(fresh.removed, [("a".to_owned(), 12)]);
+        let changes = listing.apply(whole(&one("b", 1, 9), 12), Source::Leader);
+        assert_eq!(changes.removed, [("a".to_owned(), 12)]);
         assert_eq!(keys(&listing), ["b"]);
     }
 
-    an_entry_says_more_than_what_a_leader_has_passed_on_of_it => {
+    the_stores_entry_replaces_a_leaders_copy => {
         let mut listing = Listing::default();
         listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
-        let fresh = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Store);
-        assert_eq!(fresh.written.len(), 1);
-        let fresh = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
-        assert!(fresh.written.is_empty());
+        let changes = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Store);
+        assert_eq!(changes.written.len(), 1);
+        let changes = listing.apply(partial(vec![written("a", 1, 5)], &[], 5), Source::Leader);
+        assert!(changes.written.is_empty());
     }
 
-    what_changes_nothing_but_what_an_engine_holds_is_not_passed_on => {
+    changes_of_an_engines_models_are_not_relayed => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         let mut holds = endpoint("a", "z", &["m"]);
@@ -161,145 +161,147 @@
         assert_eq!(listing.changes_since(6).written.len(), 1);
     }
 
-    who_is_behind_the_known_removals_gets_everything => {
+    a_version_before_the_known_removals_gets_the_whole_list => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 10), Source::Store);
         assert!(listing.changes_since(9).is_whole);
         assert!(!listing.changes_since(10).is_whole);
     }
 
-    an_entry_that_no_longer_tells_its_start_is_another_writers => {
+    an_entry_that_lost_its_start_time_is_foreign => {
         let mut known = local_view();
         let own = Endpoint { started_unix_ms: 10, ..entry("a", 1) };
-        hear(&mut known, partial(vec![listed(own, 5)], &[], 5), Source::Store);
-        hear(&mut known, partial(vec![written("a", 1, 6)], &[], 6), Source::Store);
+        apply_update(&mut known, partial(vec![listed(own, 5)], &[], 5), Source::Store);
+        apply_update(&mut known, partial(vec![written("a", 1, 6)], &[], 6), Source::Store);
         assert!(usable(&known).is_empty());
-        hear(&mut known, partial(vec![written("a", 1, 7)], &[], 7), Source::Store);
+        apply_update(&mut known, partial(vec![written("a", 1, 7)], &[], 7), Source::Store);
         assert!(usable(&known).is_empty());
     }
 
-    one_that_tells_its_start_takes_no_other_with_it => {
+    a_foreign_entry_affects_no_other_endpoint => {
         let mut known = local_view();
         let own = Endpoint { started_unix_ms: 10, ..entry("a", 1) };
-        let news = partial(vec![listed(own, 5), written("b", 1, 6)], &[], 6);
-        hear(&mut known, news, Source::Store);
-        hear(&mut known, partial(vec![written("b", 2, 7)], &[], 7), Source::Store);
+        let update = partial(vec![listed(own, 5), written("b", 1, 6)], &[], 6);
+        apply_update(&mut known, update, Source::Store);
+        apply_update(&mut known, partial(vec![written("b", 2, 7)], &[], 7), Source::Store);
         assert_eq!(usable(&known), ["a", "b"]);
     }
 
-    no_entry_need_tell_its_start_where_none_does => {
+    without_any_start_times_entries_are_accepted => {
         let mut listing = Listing::default();
         listing.apply(whole(&one("a", 1, 5), 6), Source::Store);
         assert_eq!(keys(&listing), ["a"]);
     }
 
-    // A daemon that has just started reads an entry of before, or hears it from a leader that has.
-    what_was_seen_leaving_is_passed_on_as_leaving => {
+    // A daemon that has just started reads an outdated entry, or receives it from a leader that
+    // has read one.
+    draining_endpoints_are_relayed_as_draining => {
         let (mut old, mut new) = (local_view(), local_view());
-        let mut leaving = Endpoint { started_unix_ms: 7, ..entry("a", 1) };
-        let ready = leaving.clone();
-        (leaving.is_draining, leaving.entry_number) = (true, 5);
-        hear(&mut old, partial(vec![listed(leaving, 5)], &[], 5), Source::Store);
-        hear(&mut old, partial(vec![listed(ready, 9)], &[], 9), Source::Store);
+        let mut draining = Endpoint { started_unix_ms: 7, ..entry("a", 1) };
+        let ready = draining.clone();
+        (draining.is_draining, draining.entry_number) = (true, 5);
+        apply_update(&mut old, partial(vec![listed(draining, 5)], &[], 5), Source::Store);
+        apply_update(&mut old, partial(vec![listed(ready, 9)], &[], 9), Source::Store);
         assert!(usable(&old).is_empty());
-        hear(&mut new, old.list_since(0), Source::Leader);
+        apply_update(&mut new, old.list_since(0), Source::Leader);
         assert!(usable(&new).is_empty());
     }
 
-    what_was_passed_over_is_passed_on_as_gone => {
+    ignored_entries_are_relayed_as_removed => {
         let (mut old, mut new) = (local_view(), local_view());
         let ready = Endpoint { started_unix_ms: 7, ..entry("a", 1) };
-        hear(&mut old, partial(vec![listed(ready.clone(), 5)], &[], 5), Source::Store);
-        hear(&mut old, partial(vec![], &[("a", 6)], 6), Source::Store);
-        hear(&mut old, partial(vec![listed(ready.clone(), 9)], &[], 9), Source::Store);
+        apply_update(&mut old, partial(vec![listed(ready.clone(), 5)], &[], 5), Source::Store);
+        apply_update(&mut old, partial(vec![], &[("a", 6)], 6), Source::Store);
+        apply_update(&mut old, partial(vec![listed(ready.clone(), 9)], &[], 9), Source::Store);
         assert!(usable(&old).is_empty());
-        hear(&mut new, old.list_since(0), Source::Leader);
+        apply_update(&mut new, old.list_since(0), Source::Leader);
         assert!(usable(&new).is_empty());
-        // What it writes itself after that counts.
+        // An entry that the endpoint writes after that is accepted.
         let back = Endpoint { entry_number: 2, ..ready };
-        hear(&mut old, partial(vec![listed(back, 12)], &[], 12), Source::Store);
-        hear(&mut new, old.list_since(9), Source::Leader);
+        apply_update(&mut old, partial(vec![listed(back, 12)], &[], 12), Source::Store);
+        apply_update(&mut new, old.list_since(9), Source::Leader);
         assert_eq!((usable(&old), usable(&new)), (vec!["a".to_owned()], vec!["a".to_owned()]));
     }
 
-    // An endpoint enters itself, is gone, starts again under its name, and leaves: news of these
-    // come in every order, from the store and from a leader by turns, and all of them twice.
-    news_in_any_order_lead_to_the_newest => {
-        let incarnation = |born_ms: u64, is_leaving: bool| {
-            Endpoint { started_unix_ms: born_ms, is_draining: is_leaving, ..entry("a", 1) }
+    // An endpoint writes its entry, is removed, restarts under its name, and starts draining. The
+    // updates arrive in every order, alternately from the store and from a leader, and each of
+    // them twice.
+    updates_in_any_order_lead_to_the_newest_state => {
+        let incarnation = |started_unix_ms: u64, is_draining: bool| {
+            Endpoint { started_unix_ms: started_unix_ms, is_draining: is_draining, ..entry("a", 1) }
         };
-        let news = [
+        let update = [
             partial(vec![listed(incarnation(10, false), 1)], &[], 1),
             partial(vec![], &[("a", 2)], 2),
             partial(vec![listed(incarnation(20, false), 3)], &[], 3),
             partial(vec![listed(incarnation(20, true), 4)], &[], 4),
         ];
         let states: [&[&str]; 5] = [&[], &["a"], &[], &["a"], &[]];
-        for lots in 0..4_u64.pow(8) {
-            let order = (0..8).map(|place| (lots / 4_u64.pow(place) % 4) as usize);
+        for code in 0..4_u64.pow(8) {
+            let order = (0..8).map(|digit| (code / 4_u64.pow(digit) % 4) as usize);
             let mut known = local_view();
             let mut newest = 0;
             for (turn, number) in order.enumerate() {
                 let source = [Source::Store, Source::Leader][turn % 2];
-                hear(&mut known, news[number].clone(), source);
+                apply_update(&mut known, update[number].clone(), source);
                 newest = newest.max(number + 1);
-                assert_eq!(usable(&known), states[newest], "order {lots}, turn {turn}");
+                assert_eq!(usable(&known), states[newest], "order {code}, turn {turn}");
             }
         }
     }
 
-    // One copy follows the store, others follow it or each other by turns, with gaps: at
-    // the end all are the same as the table.
-    copies_agree_with_the_table_whoever_they_hear_it_from => {
+    // One copy follows the store, and the others follow the store or each other alternately, with
+    // gaps. In the end all are equal to the table.
+    copies_agree_with_the_table_whichever_source_they_follow => {
         for seed in 0..500 {
             play(seed, 0);
         }
     }
 
-    // The same where answers and what leaders pass on come late, after newer ones: no copy ever
-    // goes back behind what it has heard of a key.
-    no_copy_goes_back_behind_what_it_has_heard => {
+    // The same, with answers and relayed updates that arrive after newer ones: no copy returns to
+    // an earlier state of a key.
+    no_copy_returns_to_an_earlier_state => {
         for seed in 0..1_000 {
             play(seed, 12);
         }
     }
 }
 
-/// A message on its way to a copy.
+/// An update in transit to a copy.
 struct Message {
     due: u64,
     copy: usize,
-    news: ListUpdate,
+    update: ListUpdate,
     source: Source,
 }
 
 /// The table over time, and copies of it.
-struct World {
+struct Simulation {
     table: Table,
     version: u64,
     history: Vec<(u64, String, Option<u32>)>,
     copies: Vec<Listing>,
-    /// The version as of which each copy has heard of each key.
-    heard: Vec<BTreeMap<String, u64>>,
+    /// The version as of which each copy knows each key.
+    known_at: Vec<BTreeMap<String, u64>>,
 }
 
 const KEYS: [&str; 5] = ["k0", "k1", "k2", "k3", "k4"];
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             table: Table::new(),
             version: 1,
             history: Vec::new(),
             copies: (0..3).map(|_| Listing::default()).collect(),
-            heard: vec![BTreeMap::new(); 3],
+            known_at: vec![BTreeMap::new(); 3],
         }
     }
 
-    fn change(&mut self, lots: &mut fastrand::Rng, step: u32) {
-        self.version += lots.u64(1..4);
-        let key = KEYS[lots.usize(0..KEYS.len())].to_owned();
-        let row = (lots.u32(0..3) > 0).then_some(step);
+    fn change(&mut self, random: &mut fastrand::Rng, step: u32) {
+        self.version += random.u64(1..4);
+        let key = KEYS[random.usize(0..KEYS.len())].to_owned();
+        let row = (random.u32(0..3) > 0).then_some(step);
         match row {
             Some(row) => self.table.insert(key.clone(), (row, self.version)),
             None => self.table.remove(&key),
@@ -307,79 +309,79 @@
         self.history.push((self.version, key, row));
     }
 
-    /// What the store tells of changes; a feed names each key once, with its newest state.
-    fn feed(&self, after: u64) -> ListUpdate {
-        let mut news = partial(vec![], &[], self.version);
+    /// Returns the store's feed of changes; it contains each key once, with its newest state.
+    fn changes_after(&self, after: u64) -> ListUpdate {
+        let mut update = partial(vec![], &[], self.version);
         let mut named = BTreeSet::new();
         for (at, key, row) in self.history.iter().rev().filter(|(at, ..)| *at > after) {
             if named.insert(key.clone()) {
                 match row {
-                    Some(row) => news.written.push(written(key, *row, *at)),
-                    None => news.removed.push((key.clone(), *at)),
+                    Some(row) => update.written.push(written(key, *row, *at)),
+                    None => update.removed.push((key.clone(), *at)),
                 }
             }
         }
-        news
+        update
     }
 
-    /// What a key was at a version.
+    /// Returns the state of a key at a version.
     fn state(&self, key: &str, version: u64) -> Option<u32> {
         let mut of_key = self.history.iter().filter(|(at, of, _)| of == key && *at <= version);
         of_key.next_back().and_then(|(_, _, row)| *row)
     }
 
-    fn take(&mut self, message: Message, seed: u64) {
-        let Message { copy, news, source, .. } = message;
-        let heard = &mut self.heard[copy];
-        let mut hear = |key: &str, at: u64| {
-            let known = heard.entry(key.to_owned()).or_default();
+    fn deliver(&mut self, message: Message, seed: u64) {
+        let Message { copy, update, source, .. } = message;
+        let known_at = &mut self.known_at[copy];
+        let mut record = |key: &str, at: u64| {
+            let known = known_at.entry(key.to_owned()).or_default();
             *known = at.max(*known);
         };
-        if news.is_whole {
-            KEYS.iter().for_each(|key| hear(key, news.version));
+        if update.is_whole {
+            KEYS.iter().for_each(|key| record(key, update.version));
         }
-        news.written.iter().for_each(|entry| hear(&entry.key, entry.version));
-        news.removed.iter().for_each(|(key, at)| hear(key, *at));
-        self.copies[copy].apply(news, source);
+        update.written.iter().for_each(|entry| record(&entry.key, entry.version));
+        update.removed.iter().for_each(|(key, at)| record(key, *at));
+        self.copies[copy].apply(update, source);
         let content = content(&self.copies[copy]);
-        for (key, at) in &self.heard[copy] {
+        for (key, at) in &self.known_at[copy] {
             let expected = self.state(key, *at);
             assert_eq!(content.get(key).copied(), expected, "seed {seed}, copy {copy}, {key}");
         }
     }
 }
 
-/// Changes a table, and passes on what has changed; messages take up to so many steps.
-fn play(seed: u64, latest: u64) {
-    let mut lots = fastrand::Rng::with_seed(seed);
-    let mut world = World::new();
-    let mut on_their_way: Vec<Message> = Vec::new();
+/// Changes a table and sends updates to its copies; an update takes up to `latest` steps.
+fn play(seed: u64, max_delay: u64) {
+    let mut random = fastrand::Rng::with_seed(seed);
+    let mut simulation = Simulation::new();
+    let mut in_transit: Vec<Message> = Vec::new();
     for step in 0..120_u64 {
-        world.change(&mut lots, step as u32);
-        let copy = lots.usize(0..3);
-        let after = world.copies[copy].version();
-        let sent = match lots.u32(0..4) {
-            0 => Some((whole(&world.table, world.version), Source::Store)),
-            1 if after > 0 => Some((world.feed(after), Source::Store)),
-            2 if world.copies[(copy + 1) % 3].version() > 0 => {
-                Some((world.copies[(copy + 1) % 3].changes_since(after), Source::Leader))
+        simulation.change(&mut random, step as u32);
+        let copy = random.usize(0..3);
+        let after = simulation.copies[copy].version();
+        let sent = match random.u32(0..4) {
+            0 => Some((whole(&simulation.table, simulation.version), Source::Store)),
+            1 if after > 0 => Some((simulation.changes_after(after), Source::Store)),
+            2 if simulation.copies[(copy + 1) % 3].version() > 0 => {
+                Some((simulation.copies[(copy + 1) % 3].changes_since(after), Source::Leader))
             }
             _ => None,
         };
-        let due = step + lots.u64(0..=latest);
-        on_their_way.extend(sent.map(|(news, source)| Message { due, copy, news, source }));
+        let due = step + random.u64(0..=max_delay);
+        in_transit.extend(sent.map(|(update, source)| Message { due, copy, update, source }));
         let arrived: Vec<Message> =
-            on_their_way.extract_if(.., |message| message.due <= step).collect();
-        arrived.into_iter().for_each(|message| world.take(message, seed));
+            in_transit.extract_if(.., |message| message.due <= step).collect();
+        arrived.into_iter().for_each(|message| simulation.deliver(message, seed));
     }
-    on_their_way.into_iter().for_each(|message| world.take(message, seed));
-    let newest = whole(&world.table, world.version);
-    world.copies[0].apply(newest, Source::Store);
+    in_transit.into_iter().for_each(|message| simulation.deliver(message, seed));
+    let newest = whole(&simulation.table, simulation.version);
+    simulation.copies[0].apply(newest, Source::Store);
     let expected: BTreeMap<String, u32> =
-        world.table.iter().map(|(key, (row, _))| (key.clone(), *row)).collect();
+        simulation.table.iter().map(|(key, (row, _))| (key.clone(), *row)).collect();
     for number in 1..3 {
-        let news = world.copies[0].changes_since(world.copies[number].version());
-        world.copies[number].apply(news, Source::Leader);
-        assert_eq!(content(&world.copies[number]), expected, "seed {seed}, copy {number}");
+        let update = simulation.copies[0].changes_since(simulation.copies[number].version());
+        simulation.copies[number].apply(update, Source::Leader);
+        assert_eq!(content(&simulation.copies[number]), expected, "seed {seed}, copy {number}");
     }
 }
--- a/crates/trestle-wire/src/lending.rs
+++ b/crates/trestle-wire/src/lending.rs
@@ -34,9 +34,9 @@
 impl From<Allocation> for WireLoan {
     fn from(loan: Allocation) -> Self {
         match loan {
-            Allocation::Lent(units) => Self::Lent { units },
+            Allocation::Granted(units) => Self::Lent { units },
             Allocation::Refused { in_ms } => Self::Refused { in_ms },
-            Allocation::NotLending => Self::NotLending,
+            Allocation::NotLeading => Self::NotLending,
         }
     }
 }
