--- a/crates/trestle-dispatch/src/backpressure.rs
+++ b/crates/trestle-dispatch/src/backpressure.rs
@@ -68,7 +68,7 @@
     pub observed_ms: u64,
     /// Id of the request whose answer requested it.
     pub observed_in: String,
-    /// Number of requests that the endpoint has answered since its end.
+    /// Number of requests that the endpoint has answered since the backoff ended.
     served: u32,
 }
 
@@ -81,7 +81,7 @@
     pub observed_ms: u64,
     /// Id of the request whose answer announced this limit first.
     pub observed_in: String,
-    /// Number of answers since then without a limit that were not reported to a leader yet.
+    /// Number of answers without a limit, since `observed_ms` and the last report to a leader.
     answers_without_limit: u32,
     last_without_ms: u64,
     /// When a request last tried the endpoint although another one could have taken it.
@@ -190,8 +190,8 @@
         self.by_incarnation.is_empty()
     }
 
-    /// Returns the time for which no request without a permit is sent to a limited incarnation;
-    /// `None` if it has no limit, or a permit may be requested.
+    /// Returns the time for which no request is sent to a limited incarnation, because no permit
+    /// is available; `None` if the incarnation has no limit, or a permit may be requested.
     pub fn limit_closed_for_ms(&self, incarnation: &Incarnation, now_ms: u64) -> Option<u64> {
         let limit = self.limit(incarnation).filter(|limit| now_ms < limit.closed_until_ms)?;
         Some(limit.permit_at_ms.max(now_ms + 1) - now_ms)
@@ -216,12 +216,7 @@
         limit.last_trial_ms = now_ms;
         let AnnouncedLimit { per_ks, observed_ms, last_without_ms, .. } = *limit;
         let answers_without_limit = std::mem::take(&mut limit.answers_without_limit);
-        Some(ObservedLimit {
-            per_ks,
-            observed_ms,
-            answers_without_limit: answers_without_limit,
-            last_without_ms: last_without_ms,
-        })
+        Some(ObservedLimit { per_ks, observed_ms, answers_without_limit, last_without_ms })
     }
 
     /// Records that no permit is available for `in_ms`.
@@ -290,12 +285,7 @@
             let before_ms = self.backoff.as_ref().map_or(0, |backoff| backoff.until_ms);
             let until_ms = before_ms.max(now_ms + for_ms);
             let observed_in = answer.id.to_owned();
-            self.backoff = Some(Backoff {
-                until_ms,
-                observed_ms: now_ms,
-                observed_in: observed_in,
-                served: 0,
-            });
+            self.backoff = Some(Backoff { until_ms, observed_ms: now_ms, observed_in, served: 0 });
             return Some(SignalChange::Backoff { for_ms });
         }
         let backoff = self.backoff.as_mut()?;
--- a/crates/trestle-dispatch/src/crashes.rs
+++ b/crates/trestle-dispatch/src/crashes.rs
@@ -100,7 +100,7 @@
     ) -> bool {
         let crashes = vec![(endpoint.clone(), 0)];
         !self
-            .apply_reports(&[CrashReport { request, crashes: crashes, is_served: false }], now_ms)
+            .apply_reports(&[CrashReport { request, crashes, is_served: false }], now_ms)
             .is_empty()
     }
 
@@ -147,11 +147,8 @@
     /// Returns the requests that changed after a change number, and the number of the last
     /// change.
     pub fn changes_since(&self, after: u64, now_ms: u64) -> (Vec<CrashReport>, u64) {
-        let last_change = self.by_request.iter().filter(|(_, record)| record.last_change > after);
-        (
-            last_change.map(|(request, record)| record.report(*request, now_ms)).collect(),
-            self.changes,
-        )
+        let changed = self.by_request.iter().filter(|(_, record)| record.last_change > after);
+        (changed.map(|(request, record)| record.report(*request, now_ms)).collect(), self.changes)
     }
 
     /// Returns the number of the last change of a request that is restricted, or was until it had
@@ -163,7 +160,7 @@
     /// Returns the requests that are restricted, or were until they had an answer, the most
     /// recent ones first, and the number of their last change.
     pub fn restricted_reports(&self, now_ms: u64) -> (Vec<CrashReport>, u64) {
-        let mut rejected: Vec<(u64, CrashReport)> = self
+        let mut restricted: Vec<(u64, CrashReport)> = self
             .by_request
             .iter()
             .filter_map(|(request, record)| {
@@ -173,8 +170,8 @@
                 is_reported.then(|| (last_ms, record.report(*request, now_ms)))
             })
             .collect();
-        rejected.sort_by_key(|(last_ms, _)| std::cmp::Reverse(*last_ms));
-        (rejected.into_iter().map(|(_, report)| report).collect(), self.last_restricted_change)
+        restricted.sort_by_key(|(last_ms, _)| std::cmp::Reverse(*last_ms));
+        (restricted.into_iter().map(|(_, report)| report).collect(), self.last_restricted_change)
     }
 
     /// Applies the reports of another daemon. Returns the requests that are rejected from now on.
--- a/crates/trestle-dispatch/src/decision_leaders.rs
+++ b/crates/trestle-dispatch/src/decision_leaders.rs
@@ -1,5 +1,5 @@
-//! Which leader decides for all daemons on something with a name, and since when no other leader
-//! may have decided on it.
+//! Which leader decides for all daemons on a name, such as that of a request, and since when no
+//! other leader may have decided on it.
 //!
 //! The load that this answers: leaders that are stopped one after the other while a request
 //! crashes engines. Only the leader that admitted an attempt knows of it, so the leader that
--- a/crates/trestle-dispatch/src/departures.rs
+++ b/crates/trestle-dispatch/src/departures.rs
@@ -102,16 +102,20 @@
         !endpoint.has_start_time() && self.last_with_start_time(&endpoint.name).is_some()
     }
 
-    /// Returns at most `most` incarnations to report to daemons that may not know of them: first
+    /// Returns at most `max_count` incarnations to report to daemons that may not know of them: first
     /// those whose name is used by another writer's entry, then the most recent ones.
-    pub fn reports(&self, most: usize, is_listed: impl Fn(&Incarnation) -> bool) -> Vec<Departure> {
+    pub fn reports(
+        &self,
+        max_count: usize,
+        is_listed: impl Fn(&Incarnation) -> bool,
+    ) -> Vec<Departure> {
         let identifiable =
             self.by_incarnation.iter().filter(|(incarnation, _)| incarnation.started_unix_ms != 0);
         let gone = identifiable
             .filter(|(incarnation, departed)| departed.was_draining || !is_listed(incarnation));
         let mut gone: Vec<(&Incarnation, &Departed)> = gone.collect();
         gone.sort_by_key(|(_, of)| std::cmp::Reverse((of.has_foreign_entry, of.order)));
-        let each = gone.into_iter().take(most).map(|(incarnation, departed)| Departure {
+        let each = gone.into_iter().take(max_count).map(|(incarnation, departed)| Departure {
             incarnation: incarnation.clone(),
             was_draining: departed.was_draining,
             last_number: departed.last_number,
--- a/crates/trestle-dispatch/src/directory.rs
+++ b/crates/trestle-dispatch/src/directory.rs
@@ -96,7 +96,7 @@
         {
             // An older message that arrived late: only its draining mark is used.
             let is_draining = endpoint.is_draining;
-            endpoint = Endpoint { is_draining: is_draining, ..Endpoint::clone(known) };
+            endpoint = Endpoint { is_draining, ..Endpoint::clone(known) };
         }
         self.endpoints.insert(endpoint.name.clone(), Arc::new(endpoint));
         true
@@ -143,10 +143,10 @@
         true
     }
 
-    /// Returns at most `most` incarnations that are draining or gone, to be reported to daemons
+    /// Returns at most `max_count` incarnations that are draining or gone, to be reported to daemons
     /// that may not know of them.
-    pub fn departures(&self, most: usize) -> Vec<Departure> {
-        self.departures.reports(most, |incarnation| self.contains(incarnation))
+    pub fn departures(&self, max_count: usize) -> Vec<Departure> {
+        self.departures.reports(max_count, |incarnation| self.contains(incarnation))
     }
 
     /// Applies what another daemon knows about a draining or departed endpoint. Returns whether
@@ -202,9 +202,9 @@
     }
 
     /// Returns until when an entry that is removed now is kept, because it may have lapsed only
-    /// while the store was unavailable. Entries do not lapse in a short period without the store:
-    /// an endpoint whose entry is removed after one has stopped, at the earliest when the list
-    /// was last known.
+    /// while the store was unavailable. Entries do not lapse in a short outage of the store: an
+    /// endpoint whose entry is removed after such an outage has stopped, at the earliest when the
+    /// list was last read.
     fn kept_until_ms(&self, now_ms: u64) -> Option<u64> {
         let last_outage = self.last_outage?;
         let usable_ms = self.draining_ms.saturating_sub(IN_TRANSIT_MS);
--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -220,9 +220,9 @@
         (counted + own).saturating_sub(reported.copied().unwrap_or_default()).max(own)
     }
 
-    /// Stores what the leader reports about a service. `last_planned` is the number of this daemon's
-    /// last demand report that the leader's plan includes. Returns whether the update may affect
-    /// requests that wait.
+    /// Stores what the leader reports about a service. `last_planned` is the number of this
+    /// daemon's last demand report that the leader's plan includes. Returns whether the update may
+    /// affect requests that wait.
     pub fn update_replicas(
         &mut self,
         service: ServiceName,
@@ -277,8 +277,8 @@
     /// read from the store.
     pub fn clear_replicas(&mut self, has_read_entries: bool) {
         for view in std::mem::take(&mut self.replicas).into_values() {
-            for (name, note) in view.engines.into_iter().filter(|_| !has_read_entries) {
-                self.directory.assume_held(&name, note.holds);
+            for (name, summary) in view.engines.into_iter().filter(|_| !has_read_entries) {
+                self.directory.assume_held(&name, summary.holds);
             }
         }
     }
--- a/crates/trestle-dispatch/src/unresolved_requests.rs
+++ b/crates/trestle-dispatch/src/unresolved_requests.rs
@@ -18,8 +18,8 @@
 };
 use trestle_core::names::EndpointName;
 
-/// Time for which an aborted request is remembered: an entry lapses after three heartbeats of 1.2
-/// s, and the update of the list takes a second more.
+/// Time for which an aborted request is remembered: an entry lapses after three heartbeats of
+/// 1.2 s, and the update of the list takes a second more.
 const UNRESOLVED_MS: u64 = 6_000;
 /// Longest time from the abort of a request until the endpoint has crashed, if it crashes under
 /// that request: an endpoint drops a request once it sees that the connection is closed.
@@ -158,18 +158,18 @@
     }
 
     /// Records that an endpoint answered a request that was sent at `sent_ms`, over a connection
-    /// that was opened at `opened_ms`. If incarnations have no start times, the connection
-    /// distinguishes them: one that was open before the abort still leads to the same
-    /// incarnation.
+    /// that was opened at `opened_ms`. An incarnation without a start time is identified by its
+    /// name. Other incarnations under the same name cannot be distinguished by the answer, but by
+    /// the connection: one that was open before the abort still leads to the same incarnation.
     pub fn answered(&mut self, incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) {
         let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
-        let lacks_start_time = incarnation.started_unix_ms == 0;
+        let is_identified_by_name = incarnation.started_unix_ms == 0;
         // The endpoint is back, or had never terminated.
         requests
             .terminated_ms
-            .take_if(|terminated_ms| lacks_start_time && *terminated_ms < sent_ms);
+            .take_if(|terminated_ms| is_identified_by_name && *terminated_ms < sent_ms);
         requests.aborted.retain(|_, at_ms| {
-            let is_same = lacks_start_time || opened_ms <= *at_ms;
+            let is_same = is_identified_by_name || opened_ms <= *at_ms;
             !(is_same && *at_ms + MAX_CRASH_DELAY_MS <= sent_ms)
         });
     }
--- a/crates/trestle-dispatch/tests/crashes.rs
+++ b/crates/trestle-dispatch/tests/crashes.rs
@@ -22,7 +22,7 @@
 }
 
 fn incarnation(name: &str, started_unix_ms: u64) -> Incarnation {
-    Incarnation { name: name.into(), started_unix_ms: started_unix_ms }
+    Incarnation { name: name.into(), started_unix_ms }
 }
 
 /// Returns a record in which `count` endpoints crashed under one request, a second apart.
--- a/crates/trestle-dispatch/tests/listing.rs
+++ b/crates/trestle-dispatch/tests/listing.rs
@@ -228,7 +228,7 @@
     // them twice.
     updates_in_any_order_lead_to_the_newest_state => {
         let incarnation = |started_unix_ms: u64, is_draining: bool| {
-            Endpoint { started_unix_ms: started_unix_ms, is_draining: is_draining, ..entry("a", 1) }
+            Endpoint { started_unix_ms, is_draining, ..entry("a", 1) }
         };
         let update = [
             partial(vec![listed(incarnation(10, false), 1)], &[], 1),
--- a/crates/trestle-dispatch/tests/outage.rs
+++ b/crates/trestle-dispatch/tests/outage.rs
@@ -42,8 +42,8 @@
         assert!(outage.try_now(260).is_err());
     }
 
-    // Loops that wait for the exact moment took every attempt, and a daemon that polls each 250
-    // ms could not acquire a free lease for 20 s.
+    // Loops that wait for the exact moment took every attempt, and a daemon that polls each
+    // 250 ms could not acquire a free lease for 20 s.
     a_polling_caller_gets_attempts => {
         let mut outage = Outage::new(1_000);
         outage.failed(0);
