--- a/crates/trestle-entry/src/connection_loss.rs
+++ b/crates/trestle-entry/src/connection_loss.rs
@@ -11,7 +11,7 @@
     net::{
         connect,
         exchange::{Answer, CallClient, Error},
-        pool::CONNECT_MS,
+        pool::CONNECT_TIMEOUT_MS,
     },
 };
 use http::StatusCode;
@@ -127,7 +127,7 @@
 
 /// Checks whether a process listens at an endpoint's address.
 async fn check_port(endpoint: &Endpoint) -> CheckResult {
-    match connect::open(endpoint.address, CONNECT_MS).await {
+    match connect::open(endpoint.address, CONNECT_TIMEOUT_MS).await {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
             CheckResult::Terminated(Evidence::Refused)
         }
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -93,8 +93,8 @@
     /// Applies changed bounds from the settings.
     pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
         self.shared_view.apply_bounds(bounds);
-        self.freshness.take_bounds(bounds);
-        self.store.take_bounds(bounds);
+        self.freshness.apply_bounds(bounds);
+        self.store.apply_bounds(bounds);
         self.stopping.apply_bounds(bounds);
         self.send(Message::QuietTime(bounds.order_quiet_ms));
     }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -43,7 +43,7 @@
     settings_watch::SettingsWatch,
     traffic::{
         answer::{self, Body},
-        serve::{self, Closing, Limits},
+        serve::{self, ConnectionLimits, ListenerShutdown},
     },
 };
 use bytes::Bytes;
@@ -57,7 +57,8 @@
 
 /// Limits of connections from the balancer and metrics readers, and from callers before there is a
 /// configuration.
-const DEFAULT_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
+const DEFAULT_LIMITS: ConnectionLimits =
+    ConnectionLimits { header_bytes: 16 << 10, idle_ms: 30_000 };
 
 /// An error that prevents the daemon from starting or running.
 #[derive(Debug, Snafu)]
@@ -156,12 +157,12 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<Closing> {
-    let closing = Arc::new(Closing::default());
+fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<ListenerShutdown> {
+    let closing = Arc::new(ListenerShutdown::default());
     let limits = {
         let daemon = Arc::clone(daemon);
         move || match daemon.shared_view.catalog() {
-            Some(catalog) => Limits {
+            Some(catalog) => ConnectionLimits {
                 header_bytes: catalog.limits.header_bytes,
                 idle_ms: catalog.limits.idle_ms + catalog.limits.header_ms,
             },
@@ -201,7 +202,7 @@
 fn external_counts(daemon: &Daemon, logs: &Logs) -> ExternalCounts {
     let now_ms = daemon.shared_view.now_ms();
     daemon.shared_view.with(|local_view| ExternalCounts {
-        store_calls: daemon.store.calls(),
+        store_calls: daemon.store.call_count(),
         log_drops: logs.dropped(),
         limited: local_view.backpressure.limited(),
         backing_off: local_view.backpressure.backing_off(now_ms),
@@ -210,7 +211,7 @@
 }
 
 fn plain_answer(status: StatusCode, content: Bytes) -> Response<Body> {
-    let mut response = Response::new(answer::whole(content));
+    let mut response = Response::new(answer::full_body(content));
     *response.status_mut() = status;
     response
 }
--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections to endpoints.
+//! A pool of idle connections to endpoints.
 //!
-//! A connection carries one request at a time. It is kept only after a whole
-//! answer, and not for as long as the endpoint might keep it, since a request
-//! that crosses the endpoint's close may be lost.
+//! A connection carries one request at a time. It returns to the pool only after a complete answer.
+//! The pool closes it before the endpoint would, because a request that is sent while the endpoint
+//! closes the connection may be lost.
 
 use crate::{clock::Clock, net::connect};
 use bytes::Bytes;
@@ -21,27 +21,29 @@
 };
 use trestle_dispatch::endpoint::{Endpoint, Incarnation};
 
-/// Time for opening a connection; ways within a region take a few ms.
-pub(crate) const CONNECT_MS: u64 = 300;
-/// For how long a connection is kept where the endpoint does not say; below
-/// the shortest time that endpoints say.
+/// Longest time for opening a connection. A round trip within a region takes a few milliseconds.
+pub(crate) const CONNECT_TIMEOUT_MS: u64 = 300;
+/// Idle time after which a connection is closed if the endpoint does not report its own idle
+/// timeout. It is below the shortest timeout that endpoints report.
 const DEFAULT_IDLE_MS: u64 = 900;
-/// Part of the endpoint's own time for which a connection is kept.
-const IDLE_PART: f64 = 0.6;
-/// Connections kept to one endpoint.
-const MOST_KEPT: usize = 16;
+/// Fraction of the endpoint's own idle timeout for which a connection is kept.
+const IDLE_FRACTION: f64 = 0.6;
+/// Most idle connections that are kept to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// Kept connections to endpoints.
+/// Idle connections, by the start of the endpoint that they were opened to.
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
-    kept: Mutex<BTreeMap<Incarnation, Vec<Kept>>>,
+    idle: Mutex<BTreeMap<Incarnation, Vec<IdleConnection>>>,
 }
 
+/// An idle connection.
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until_ms: u64,
+    /// Until when the connection may be used, on the daemon's clock.
+    expires_ms: u64,
     opened_ms: u64,
 }
 
@@ -53,83 +55,85 @@
     opened_ms: u64,
 }
 
-/// Why a request has no answer.
+/// Why a request got no answer.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// It certainly never left.
+    /// The request was certainly not sent.
     NotSent(String),
-    /// It may have been received and run.
+    /// The request may have been received and run.
     Unknown(String),
 }
 
 impl Pool {
-    /// No connection is kept yet.
+    /// Creates an empty pool.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, kept: Mutex::default() }
+        Self { clock, idle: Mutex::default() }
     }
 
-    /// A kept connection to an endpoint, or a new one.
+    /// Returns an idle connection to an endpoint, or opens one.
     ///
     /// # Errors
     ///
-    /// Fails if the endpoint cannot be connected to.
+    /// Fails if no connection can be opened.
     pub(crate) async fn connection(&self, endpoint: &Endpoint) -> io::Result<Connection> {
-        if let Some(Kept { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
+        if let Some(IdleConnection { sender, opened_ms, .. }) = self.take(&endpoint.incarnation()) {
             return Ok(Connection { sender, is_fresh: false, opened_ms });
         }
         let sender = open(endpoint.address).await?;
         Ok(Connection { sender, is_fresh: true, opened_ms: self.clock.now_ms() })
     }
 
-    /// Keeps a connection for the next request, for as long as the endpoint will.
+    /// Returns a connection to the pool. `idle_ms` is the endpoint's own idle timeout, if it
+    /// reports one.
     pub(crate) fn keep(&self, endpoint: &Endpoint, connection: Connection, idle_ms: Option<u64>) {
         if connection.sender.is_closed() {
             return;
         }
-        let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_PART) as u64);
-        let until_ms = self.clock.now_ms() + idle_ms;
-        let mut kept = self.lock();
-        let of_endpoint = kept.entry(endpoint.incarnation()).or_default();
-        if of_endpoint.len() < MOST_KEPT {
+        let idle_ms = idle_ms.map_or(DEFAULT_IDLE_MS, |ms| (ms as f64 * IDLE_FRACTION) as u64);
+        let expires_ms = self.clock.now_ms() + idle_ms;
+        let mut idle = self.lock();
+        let connections = idle.entry(endpoint.incarnation()).or_default();
+        if connections.len() < MAX_IDLE_PER_ENDPOINT {
             let Connection { sender, opened_ms, .. } = connection;
-            of_endpoint.push(Kept { sender, until_ms, opened_ms });
+            connections.push(IdleConnection { sender, expires_ms, opened_ms });
         }
     }
 
-    /// Closes connections that were idle for too long, and those to endpoints that are gone.
-    pub(crate) fn tidy(&self, is_live: impl Fn(&Incarnation) -> bool) {
+    /// Closes connections that were idle for too long, and those to endpoints that are not live.
+    pub(crate) fn cleanup(&self, is_live: impl Fn(&Incarnation) -> bool) {
         let now_ms = self.clock.now_ms();
-        let mut kept = self.lock();
-        kept.retain(|endpoint, connections| {
-            connections.retain(|kept| now_ms < kept.until_ms && !kept.sender.is_closed());
+        let mut idle = self.lock();
+        idle.retain(|endpoint, connections| {
+            connections.retain(|idle| now_ms < idle.expires_ms && !idle.sender.is_closed());
             !connections.is_empty() && is_live(endpoint)
         });
     }
 
-    fn take(&self, endpoint: &Incarnation) -> Option<Kept> {
+    /// Removes and returns an idle connection that can still be used.
+    fn take(&self, endpoint: &Incarnation) -> Option<IdleConnection> {
         let now_ms = self.clock.now_ms();
-        let mut kept = self.lock();
-        let of_endpoint = kept.get_mut(endpoint)?;
-        while let Some(candidate) = of_endpoint.pop() {
-            if now_ms < candidate.until_ms && candidate.sender.is_ready() {
+        let mut idle = self.lock();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(candidate) = connections.pop() {
+            if now_ms < candidate.expires_ms && candidate.sender.is_ready() {
                 return Some(candidate);
             }
         }
         None
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<Kept>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<Incarnation, Vec<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Connection {
-    /// Whether it was opened for this request.
+    /// Returns whether the connection was opened for this request.
     pub(crate) fn is_fresh(&self) -> bool {
         self.is_fresh
     }
 
-    /// When it was opened, on the daemon's clock.
+    /// Returns when the connection was opened, in milliseconds on the daemon's clock.
     pub(crate) fn opened_ms(&self) -> u64 {
         self.opened_ms
     }
@@ -138,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no head; the error says whether the request may have run.
+    /// Fails if no head arrives. The error says whether the request may have run.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -146,20 +150,21 @@
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
-                let never_left = error.take_message().is_some();
+                let was_not_sent = error.take_message().is_some();
                 let text = error.into_error().to_string();
-                Err(if never_left { SendError::NotSent(text) } else { SendError::Unknown(text) })
+                Err(if was_not_sent { SendError::NotSent(text) } else { SendError::Unknown(text) })
             }
         }
     }
 }
 
+/// Opens a connection, and drives it in a task of its own.
 async fn open(address: SocketAddr) -> io::Result<SendRequest<Full<Bytes>>> {
-    let stream = connect::open(address, CONNECT_MS).await?;
+    let stream = connect::open(address, CONNECT_TIMEOUT_MS).await?;
     let (sender, connection) =
         http1::handshake(FuturesIo::new(stream)).await.map_err(io::Error::other)?;
     smol::spawn(async move {
-        // An error here ends the request, which reports it.
+        // The request fails with an error on its connection, and reports it.
         let _ = connection.await;
     })
     .detach();
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -257,16 +257,16 @@
 fn apply_relay(daemon: &Daemon, relay: WireRelay, requested_ms: u64) {
     departures::receive_wire(daemon, relay.departures);
     let is_applied =
-        relay.config.is_none_or(|update| config::take_passed_on(daemon, &update.into()));
+        relay.config.is_none_or(|update| config::apply_relayed(daemon, &update.into()));
     // The age refers to the time of the answer, which was after the request.
     if let Some(age_ms) = relay.config_age_ms.filter(|_| is_applied) {
-        daemon.freshness.config_proven(requested_ms.saturating_sub(age_ms));
+        daemon.freshness.record_config_proof(requested_ms.saturating_sub(age_ms));
     }
     let next_ms = intervals(daemon).idle_ms();
     let now_ms = daemon.shared_view.now_ms();
     let age_ms = relay.age_ms + now_ms.saturating_sub(requested_ms);
-    let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
+    let is_fresh = daemon.freshness.record_relay(age_ms, next_ms, now_ms);
     if is_fresh {
-        endpoints::take_passed_on(daemon, relay.endpoints.into(), age_ms);
+        endpoints::apply_relayed(daemon, relay.endpoints.into(), age_ms);
     }
 }
