--- a/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
+++ b/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
@@ -176,13 +176,11 @@
 
     fn request_permit_from_leader(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
-        let backpressure = &mut self.daemons[index].backpressure;
-        if backpressure.limit_closed_for_ms(&incarnation(), now_ms).is_some() {
+        let state = &mut self.daemons[index].backpressure;
+        if state.limit_closed_for_ms(&incarnation(), now_ms).is_some() {
             return false;
         }
-        let Some(observed) = backpressure.permit_requested(&incarnation(), now_ms) else {
-            return false;
-        };
+        let Some(observed) = state.permit_requested(&incarnation(), now_ms) else { return false };
         self.permit_requests += 1;
         let group = DomainName::from("z");
         let lease = HeldLease { token: self.token, until_ms: now_ms + 2_000 };
@@ -195,21 +193,19 @@
             true => self.limits.request_permit(&incarnation(), &group, held, observed, now_ms),
             false => SendPermit::NotLending,
         };
-        let backpressure = &mut self.daemons[index].backpressure;
+        let state = &mut self.daemons[index].backpressure;
         match permit {
             SendPermit::Lent => {
-                backpressure.apply_answer(
+                state.apply_answer(
                     &incarnation(),
                     answer_with(&signals(self.per_ks), now_ms),
                     now_ms,
                 );
                 return true;
             }
-            SendPermit::Refused { in_ms } => {
-                backpressure.permit_refused(&incarnation(), in_ms, now_ms)
-            }
+            SendPermit::Refused { in_ms } => state.permit_refused(&incarnation(), in_ms, now_ms),
             SendPermit::NotLending | SendPermit::Lifted => {
-                backpressure.allocator_unreachable(&incarnation(), now_ms)
+                state.allocator_unreachable(&incarnation(), now_ms)
             }
         }
         false
--- a/crates/trestle-dispatch/src/unresolved_requests.rs
+++ b/crates/trestle-dispatch/src/unresolved_requests.rs
@@ -28,7 +28,7 @@
 /// Requests without an answer, by incarnation.
 #[derive(Debug, Default)]
 pub struct UnresolvedRequests {
-    by_incarnation: BTreeMap<Incarnation, IncarnationRequests>,
+    incarnations: BTreeMap<Incarnation, IncarnationRequests>,
 }
 
 /// The requests that one incarnation has not answered.
@@ -95,7 +95,7 @@
 
     /// Records that an attempt at an endpoint ended and needs no further tracking there.
     pub fn resolved(&mut self, incarnation: &Incarnation, request: Fingerprint) {
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return };
         if let Some(count) = requests.running.get_mut(&request) {
             *count -= 1;
             if *count == 0 {
@@ -103,7 +103,7 @@
             }
         }
         if requests.is_empty() {
-            self.by_incarnation.remove(incarnation);
+            self.incarnations.remove(incarnation);
         }
     }
 
@@ -115,7 +115,7 @@
         request: Fingerprint,
         now_ms: u64,
     ) -> bool {
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return false };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return false };
         let is_terminated = requests.terminated_ms.is_some();
         if !is_terminated {
             requests.aborted.insert(request, now_ms);
@@ -148,11 +148,11 @@
     /// new check.
     pub fn needs_check(&mut self, incarnation: &Incarnation, now_ms: u64) -> bool {
         self.forget(now_ms);
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return false };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return false };
         let needs_check = requests.terminated_ms.is_none() && !requests.aborted.is_empty();
         requests.is_being_checked = needs_check;
         if requests.is_empty() {
-            self.by_incarnation.remove(incarnation);
+            self.incarnations.remove(incarnation);
         }
         needs_check
     }
@@ -162,7 +162,7 @@
     /// name. Other incarnations under the same name cannot be distinguished by the answer, but by
     /// the connection: one that was open before the abort still leads to the same incarnation.
     pub fn answered(&mut self, incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) {
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return };
         let is_identified_by_name = incarnation.started_unix_ms == 0;
         // The endpoint is back, or had never terminated.
         requests
@@ -176,13 +176,13 @@
 
     /// Records that an incarnation was alive at `at_ms`.
     pub fn confirmed_alive(&mut self, incarnation: &Incarnation, at_ms: u64) {
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else { return };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return };
         requests.aborted.retain(|_, aborted_ms| at_ms < *aborted_ms + MAX_CRASH_DELAY_MS);
     }
 
     /// Records that a request was answered completely, so that it crashes no endpoint.
     pub fn served(&mut self, request: Fingerprint) {
-        for requests in self.by_incarnation.values_mut() {
+        for requests in self.incarnations.values_mut() {
             requests.aborted.remove(&request);
         }
     }
@@ -194,7 +194,7 @@
             let aborted_ms = requests.aborted.get(&request);
             aborted_ms.is_some_and(|at_ms| now_ms < *at_ms + UNRESOLVED_MS)
         };
-        self.by_incarnation.values().filter(is_open).count()
+        self.incarnations.values().filter(is_open).count()
     }
 
     /// Records that an incarnation terminated. Returns the requests that may have crashed it.
@@ -205,9 +205,7 @@
         now_ms: u64,
     ) -> BTreeSet<Fingerprint> {
         self.forget(now_ms);
-        let Some(requests) = self.by_incarnation.get_mut(incarnation) else {
-            return BTreeSet::new();
-        };
+        let Some(requests) = self.incarnations.get_mut(incarnation) else { return BTreeSet::new() };
         if evidence == Evidence::Unlisted && requests.aborted.is_empty() {
             return BTreeSet::new();
         }
@@ -242,16 +240,16 @@
     }
 
     fn open(&self) -> impl Iterator<Item = (&Incarnation, &IncarnationRequests)> {
-        self.by_incarnation.iter().filter(|(_, requests)| requests.terminated_ms.is_none())
+        self.incarnations.iter().filter(|(_, requests)| requests.terminated_ms.is_none())
     }
 
     fn requests(&mut self, incarnation: &Incarnation) -> &mut IncarnationRequests {
-        self.by_incarnation.entry(incarnation.clone()).or_default()
+        self.incarnations.entry(incarnation.clone()).or_default()
     }
 
     fn forget(&mut self, now_ms: u64) {
         let has_lapsed = |at_ms: u64| now_ms >= at_ms + UNRESOLVED_MS;
-        self.by_incarnation.retain(|_, requests| {
+        self.incarnations.retain(|_, requests| {
             requests.aborted.retain(|_, at_ms| !has_lapsed(*at_ms));
             requests.terminated_ms.take_if(|terminated_ms| has_lapsed(*terminated_ms));
             !requests.is_empty()
--- a/crates/trestle-dispatch/tests/backoff.rs
+++ b/crates/trestle-dispatch/tests/backoff.rs
@@ -48,7 +48,7 @@
 ) {
     let backoff_ms = backoff_ms.map_or(HeaderField::Absent, HeaderField::Value);
     let is_success = backoff_ms == HeaderField::Absent;
-    let signals = EndpointSignals { backoff_ms: backoff_ms, ..EndpointSignals::default() };
+    let signals = EndpointSignals { backoff_ms, ..EndpointSignals::default() };
     local_view.apply_answer(
         &incarnation(name),
         Answer { signals: &signals, is_success, id: "1", sent_ms },
