--- a/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
+++ b/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
@@ -1,11 +1,11 @@
 //! Compares methods of enforcing the limit that an endpoint announces, in virtual time on the
 //! same requests.
 //!
-//! There are three methods: an equal part of the limit for each daemon, with one request
-//! available at the start; one daemon that may send, the first by rendezvous hashing over the
-//! members that each daemon knows; and the method of `endpoint_limits`, in which the leader of
-//! the endpoint's group grants a permit for each request. Daemons start and stop, freeze and are
-//! cut off; a new daemon becomes known to the others after a while.
+//! There are three methods: an equal part of the limit for each daemon, in a bucket for one
+//! request; requests only from daemons that rank first by rendezvous hashing among the members
+//! that they know; and the method of `endpoint_limits`, in which the leader of the endpoint's
+//! group grants a permit for each request. Daemons start and stop, freeze and are cut off; a new
+//! daemon becomes known to the others after a while.
 
 use fastrand::Rng;
 use trestle_core::names::DomainName;
@@ -38,7 +38,7 @@
     frozen_until_ms: u64,
     /// Time until which the daemon reaches only the endpoint.
     cut_off_until_ms: u64,
-    /// Number of requests that the daemon may send, if each daemon has a part of the limit.
+    /// Number of requests that the daemon may send now, in the methods without permits.
     available: f64,
     credited_ms: u64,
     backpressure: Backpressure,
--- a/crates/trestle-dispatch/tests/departures.rs
+++ b/crates/trestle-dispatch/tests/departures.rs
@@ -57,7 +57,7 @@
     local_view.directory.usable(&"s".into()).map(|endpoint| endpoint.name.to_string()).collect()
 }
 
-/// Returns the departures that a daemon knows which saw `x` at its fifth message, and then its
+/// Returns the departures known to a daemon that saw `x` at its fifth message, and then its
 /// removal.
 fn known() -> Vec<Departure> {
     let mut earlier = daemon(&[with_start_time("x", 5), with_start_time("y", 1)], 10);
--- a/crates/trestle-dispatch/tests/listing.rs
+++ b/crates/trestle-dispatch/tests/listing.rs
@@ -351,7 +351,7 @@
     }
 }
 
-/// Changes a table and sends updates to its copies; an update takes up to `latest` steps.
+/// Changes a table and sends updates to its copies; an update takes up to `max_delay` steps.
 fn play(seed: u64, max_delay: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut simulation = Simulation::new();
