--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -81,7 +81,7 @@
     let now_ms = daemon.shared_view.now_ms();
     let (rejected, readmitted) = daemon.shared_view.with(|local_view| {
         let is_rejected = |report: &&CrashReport, crashes: &Crashes| {
-            crashes.refused_for_ms(report.request, now_ms).is_some()
+            crashes.rejected_for_ms(report.request, now_ms).is_some()
         };
         let before = reports.iter().filter(|report| is_rejected(report, &local_view.crashes));
         let before: Vec<&CrashReport> = before.collect();
