--- a/crates/trestle-lab/src/control/faults.rs
+++ b/crates/trestle-lab/src/control/faults.rs
@@ -1,13 +1,13 @@
-//! What goes wrong.
+//! Injection of the plan's faults.
 
 use super::{
     plan::ControlFault,
-    world::{Event, World, domain},
+    simulation::{Event, Simulation, domain},
 };
 use rand::RngExt;
 
-impl World<'_> {
-    pub(super) fn fault(&mut self, number: usize) {
+impl Simulation<'_> {
+    pub(super) fn fault_begins(&mut self, number: usize) {
         let plan = self.plan;
         let for_us = (for_s(&plan.faults[number]) * 1e6) as u64;
         match &plan.faults[number] {
@@ -26,7 +26,7 @@
                     self.suspend(vm, for_us);
                 }
             }
-            ControlFault::SlowStore { times, .. } => self.store_times = *times,
+            ControlFault::SlowStore { times, .. } => self.store_slowdown = *times,
             ControlFault::CutFromStore { domain: cut, .. } => {
                 let until_us = self.now_us + for_us;
                 let cut = domain(*cut);
@@ -38,30 +38,32 @@
         self.push(self.now_us + for_us, Event::FaultEnds { number });
     }
 
+    /// Returns the VMs whose daemons hold a lease.
     fn leaders(&self) -> Vec<usize> {
         let all = 0..self.vms.len();
-        all.filter(|vm| !self.vms[*vm].led(self.clock_ms(*vm)).is_empty()).collect()
+        all.filter(|vm| !self.vms[*vm].led_groups(self.clock_ms(*vm)).is_empty()).collect()
     }
 
     fn suspend(&mut self, vm: usize, for_us: u64) {
         let now_us = self.now_us;
-        let of = &mut self.vms[vm];
-        of.slept_us = of.slept_us(now_us);
-        of.suspended_us = now_us..now_us + for_us;
+        let vm_state = &mut self.vms[vm];
+        vm_state.earlier_suspension_us = vm_state.total_suspended_us(now_us);
+        vm_state.suspended_us = now_us..now_us + for_us;
     }
 
+    /// Kills a daemon, which starts again after `for_us` and a random delay of up to 300 ms.
     fn kill(&mut self, vm: usize, for_us: u64) {
         self.vms[vm].is_alive = false;
-        let spread_us = self.lots.random_range(0..300_000);
+        let spread_us = self.random.random_range(0..300_000);
         self.push(self.now_us + for_us + spread_us, Event::Start { vm });
     }
 
     pub(super) fn fault_ends(&mut self, number: usize) {
         if let ControlFault::SlowStore { .. } = &self.plan.faults[number] {
-            self.store_times = 1.0;
+            self.store_slowdown = 1.0;
         }
         self.last_fault_us = self.now_us;
-        self.outcome.recovered_ms = 0;
+        self.outcome.recovery_ms = 0;
     }
 }
 
--- a/crates/trestle-lab/src/control/outcome.rs
+++ b/crates/trestle-lab/src/control/outcome.rs
@@ -1,44 +1,50 @@
-//! What came of a day of control.
+//! The outcome of a simulation of the control plane.
 
 use std::{collections::BTreeMap, fmt};
 use trestle_core::names::DomainName;
 
-/// What came of a day.
+/// The outcome of one run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
-    /// Leases that were taken.
+    /// Number of times that a lease was acquired.
     pub takeovers: u64,
-    /// Seconds in which some group had nobody who may give orders, by group.
-    pub orderless_s: BTreeMap<DomainName, f64>,
-    /// Seconds in which two daemons might give orders to one group, or followed too closely.
+    /// Seconds in which no daemon might give orders to a group, by group; groups without such a
+    /// time are absent.
+    pub without_orders_s: BTreeMap<DomainName, f64>,
+    /// Number of samples in which two daemons might give orders to one group, or one followed
+    /// another within the quiet time.
     pub overlaps: u64,
-    /// Most bytes that one VM sent in a second, over the day.
-    pub most_bytes_per_s: f64,
-    /// The same of the middle VM.
-    pub middle_bytes_per_s: f64,
-    /// Most of a core that one VM used, over the day.
-    pub most_cores: f64,
-    /// Longest time until a configuration was in force at all daemons that live.
-    pub config_ms: u64,
-    /// Time from the last fault until all groups had orders again.
-    pub recovered_ms: u64,
+    /// Highest rate of bytes that one VM sent, as a mean over the run.
+    pub max_bytes_per_s: f64,
+    /// Median over all VMs of the rate of bytes sent.
+    pub median_bytes_per_s: f64,
+    /// Highest share of a core that one VM used, as a mean over the run.
+    pub max_cores: f64,
+    /// Longest time until a configuration was in force at all running daemons.
+    pub config_rollout_ms: u64,
+    /// Time from the end of the last fault until every group had a leader that may give orders.
+    pub recovery_ms: u64,
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kb = |bytes: f64| bytes / 1e3;
         writeln!(formatter, "calls to the store      {}", self.store_calls)?;
-        writeln!(formatter, "leases taken            {}", self.takeovers)?;
-        writeln!(formatter, "orders that came close  {}", self.overlaps)?;
-        for (group, seconds) in &self.orderless_s {
+        writeln!(formatter, "leases acquired         {}", self.takeovers)?;
+        writeln!(formatter, "overlapping orders      {}", self.overlaps)?;
+        for (group, seconds) in &self.without_orders_s {
             writeln!(formatter, "without orders          {group}: {seconds:.2} s")?;
         }
-        let (most, middle) = (kb(self.most_bytes_per_s), kb(self.middle_bytes_per_s));
-        writeln!(formatter, "sent by one VM          {most:.1} KB/s, the middle one {middle:.1}")?;
-        writeln!(formatter, "processor of one VM     {:.4} of a core", self.most_cores)?;
-        writeln!(formatter, "configuration in force  {} ms after its change", self.config_ms)?;
-        write!(formatter, "orders again            {} ms after the last fault", self.recovered_ms)
+        let (max, median) = (kb(self.max_bytes_per_s), kb(self.median_bytes_per_s));
+        writeln!(formatter, "highest sent by a VM    {max:.1} KB/s, median {median:.1}")?;
+        writeln!(formatter, "highest processor use   {:.4} of a core", self.max_cores)?;
+        writeln!(
+            formatter,
+            "configuration in force  {} ms after its change",
+            self.config_rollout_ms
+        )?;
+        write!(formatter, "orders resumed          {} ms after the last fault", self.recovery_ms)
     }
 }
--- a/crates/trestle-lab/src/control/plan.rs
+++ b/crates/trestle-lab/src/control/plan.rs
@@ -1,48 +1,48 @@
-//! What to play, as its file describes it.
+//! A control plan: the deployment and faults to simulate, as its file describes them.
 
 use crate::{error::Result, file};
 use std::path::Path;
 
-/// Control of one deployment, with what goes wrong in it.
+/// The control plane of one deployment, with the faults to inject.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ControlPlan {
-    /// Length of the day.
+    /// Length of the simulated period.
     pub duration_s: f64,
-    /// Failure domains; daemons and engines are spread over them evenly.
+    /// Number of failure domains; daemons and engines are spread over them evenly.
     pub domains: usize,
-    /// Kinds of VMs, all with a daemon.
+    /// Kinds of VMs; each VM runs a daemon.
     pub vms: Vec<VmKind>,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Engines that change what they hold, in a second.
+    /// Engines that replace one of their models, per second.
     pub changes_per_s: f64,
-    /// Size of what is passed on to each daemon when the configuration changes.
+    /// Size of what a leader sends each daemon when the configuration changes.
     pub config_bytes: u64,
-    /// When configurations change.
+    /// Times at which the configuration changes.
     pub config_at_s: Vec<f64>,
-    /// Bound on what every daemon must know.
+    /// Bound on the age of what every daemon must know.
     pub bound_ms: u64,
-    /// Quiet time between orders of two VMs.
+    /// Quiet time between orders of two VMs to the same group.
     pub quiet_ms: u64,
-    /// One way between two VMs.
+    /// One-way delay between two VMs.
     pub way_ms: f64,
-    /// Time of a call to the store.
+    /// Duration of a call to the store.
     pub store_ms: f64,
     /// Time for which a transaction occupies its partition of the store.
     pub transaction_ms: f64,
-    /// Where the rows of the leases lie.
+    /// How lease rows are spread over partitions of the store.
     pub lease_rows: LeaseRows,
-    /// Who leads.
+    /// Which groups have a leader each.
     pub leaders: Leaders,
-    /// What leaders tell.
-    pub telling: Telling,
+    /// What leaders send in an answer.
+    pub telling: AnswerFormat,
     /// Whether daemons' clocks count the time for which their VMs are suspended.
     #[serde(default)]
     pub clocks: Clocks,
-    /// What goes wrong.
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<ControlFault>,
 }
@@ -51,47 +51,47 @@
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct VmKind {
-    /// How many.
+    /// Number of VMs.
     pub count: usize,
-    /// Processor, as a share of a core.
+    /// Speed of the processor, as a share of a core.
     pub processor_cores: f64,
-    /// Bytes that the link carries in a second, one way.
+    /// Outgoing bandwidth of the link.
     pub link_bytes_per_s: f64,
 }
 
-/// Who leads.
+/// Which groups have a leader each.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Leaders {
-    /// One daemon for all engines.
+    /// One daemon leads all engines.
     One,
-    /// One daemon for each failure domain's engines.
+    /// One daemon for each failure domain leads its engines.
     EachDomain,
 }
 
-/// Where the rows of the leases lie.
+/// How lease rows are spread over partitions of the store.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseRows {
-    /// All in one partition.
+    /// All rows are in one partition.
     Together,
-    /// Each in a partition of its own.
+    /// Each row is in a partition of its own.
     Apart,
 }
 
-/// What leaders tell.
+/// What leaders send in an answer.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Telling {
-    /// Everything that is known, each time.
+pub enum AnswerFormat {
+    /// Each answer has the whole view of the leader.
     Whole {
-        /// Size of an answer; 13,000 was measured with 295 daemons and 256 engines.
+        /// Size of an answer; about 13,000 with 295 daemons and 256 engines.
         answer_bytes: u64,
     },
-    /// What has changed since the daemon asked last.
+    /// Each answer has what has changed since the daemon's last request.
     ByChange,
 }
 
@@ -100,74 +100,75 @@
 #[derive(Copy, Eq, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Clocks {
-    /// All time that passes.
+    /// All time that passes, also while the VM is suspended.
     #[default]
     Counting,
-    /// The time for which its VM runs.
+    /// Only the time for which the VM runs.
     Standing,
 }
 
-/// Something that goes wrong.
+/// A fault to inject.
 #[trestle_macros::wire]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ControlFault {
-    /// All daemons are killed, and start again a while later.
+    /// All daemons are killed and start again later.
     KillAll {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long they are away.
+        /// Time until the daemons start again.
         for_s: f64,
     },
-    /// The daemons of a failure domain do not reach the store.
+    /// The daemons of a failure domain cannot reach the store.
     CutFromStore {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// How long the fault lasts.
         for_s: f64,
-        /// Number of the domain.
+        /// Number of the failure domain.
         domain: usize,
     },
-    /// The store takes several times as long for everything.
+    /// All operations of the store take longer.
     SlowStore {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// How long the fault lasts.
         for_s: f64,
-        /// How many times as long.
+        /// Factor on the duration of operations.
         times: f64,
     },
-    /// All leaders are killed, and start again a while later.
+    /// All leaders are killed and start again later.
     KillLeaders {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long they are away.
+        /// Time until the daemons start again.
         for_s: f64,
     },
-    /// The VMs of all leaders are suspended, and go on where they were.
+    /// The VMs of all leaders are suspended, then continue where they stopped.
     SuspendLeaders {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// How long the fault lasts.
         for_s: f64,
     },
 }
 
 impl ControlPlan {
-    /// Reads and checks a file.
+    /// Reads a plan from a file and checks it.
     ///
     /// # Errors
     ///
-    /// Fails with the place of everything that is wrong.
+    /// Fails if the file cannot be read, or is invalid; the error names the position of each
+    /// problem.
     pub fn read(path: &Path) -> Result<Self> {
         let (text, name) = file::read(path)?;
         Self::parse(&text, &name)
     }
 
-    /// Reads and checks the text of a file.
+    /// Reads a plan from the text of a file and checks it; `name` is the file's name in errors.
     ///
     /// # Errors
     ///
-    /// Fails with the place of everything that is wrong.
+    /// Fails if the text is invalid; the error names the position of each problem.
     pub fn parse(text: &str, name: &str) -> Result<Self> {
         let plan: Self = file::parse(text, name)?;
         plan.check(name)?;
@@ -175,28 +176,37 @@
     }
 
     fn check(&self, name: &str) -> Result<()> {
-        let need = |holds, field: &str, message: &str| file::need(name, holds, field, message);
-        need(self.duration_s > 0.0, "duration_s", "must be above 0")?;
-        need(self.domains > 0, "domains", "must be at least 1")?;
-        need(self.engines > 0, "engines", "must be at least 1")?;
-        need(self.store_ms >= 0.0, "store_ms", "must not be negative")?;
-        need(self.transaction_ms >= 0.0, "transaction_ms", "must not be negative")?;
-        need(self.models >= 4, "models", "must be at least 4")?;
-        need(self.changes_per_s >= 0.0, "changes_per_s", "must not be negative")?;
-        need(self.daemons() >= self.domains, "vms", "each domain needs one at least")?;
+        let require =
+            |holds, field: &str, message: &str| file::require(name, holds, field, message);
+        require(self.duration_s > 0.0, "duration_s", "must be above 0")?;
+        require(self.domains > 0, "domains", "must be at least 1")?;
+        require(self.engines > 0, "engines", "must be at least 1")?;
+        require(self.store_ms >= 0.0, "store_ms", "must not be negative")?;
+        require(self.transaction_ms >= 0.0, "transaction_ms", "must not be negative")?;
+        require(self.models >= 4, "models", "must be at least 4")?;
+        require(self.changes_per_s >= 0.0, "changes_per_s", "must not be negative")?;
+        require(
+            self.daemons() >= self.domains,
+            "vms",
+            "must have at least one VM for each domain",
+        )?;
         for (number, kind) in self.vms.iter().enumerate() {
             let field = |name: &str| format!("vms[{number}].{name}");
-            need(kind.processor_cores > 0.0, &field("processor_cores"), "must be above 0")?;
-            need(kind.link_bytes_per_s > 0.0, &field("link_bytes_per_s"), "must be above 0")?;
+            require(kind.processor_cores > 0.0, &field("processor_cores"), "must be above 0")?;
+            require(kind.link_bytes_per_s > 0.0, &field("link_bytes_per_s"), "must be above 0")?;
         }
         for (number, fault) in self.faults.iter().enumerate() {
             let field = |name: &str| format!("faults[{number}].{name}");
             match fault {
                 ControlFault::CutFromStore { domain, .. } => {
-                    need(*domain < self.domains, &field("domain"), "there is no such domain")?;
+                    require(
+                        *domain < self.domains,
+                        &field("domain"),
+                        "must be less than `domains`",
+                    )?;
                 }
                 ControlFault::SlowStore { times, .. } => {
-                    need(*times >= 1.0, &field("times"), "must be at least 1")?;
+                    require(*times >= 1.0, &field("times"), "must be at least 1")?;
                 }
                 ControlFault::KillAll { .. }
                 | ControlFault::KillLeaders { .. }
@@ -206,7 +216,7 @@
         Ok(())
     }
 
-    /// Daemons in all.
+    /// Returns the number of daemons, which is that of VMs.
     pub fn daemons(&self) -> usize {
         self.vms.iter().map(|kind| kind.count).sum()
     }
--- a/crates/trestle-lab/src/deployment.rs
+++ b/crates/trestle-lab/src/deployment.rs
@@ -1,23 +1,23 @@
-//! A deployment to play, as its file describes it.
+//! A deployment to simulate, as its file describes it.
 
 use crate::{error::Result, file};
 use std::path::Path;
 
-/// A deployment, with what goes wrong in it.
+/// A deployment, with the faults to inject.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Length of the day.
+    /// Time for which callers make requests.
     pub duration_s: f64,
-    /// Failure domains; daemons and engines are spread over them evenly.
+    /// Number of failure domains; daemons and engines are spread over them evenly.
     pub domains: usize,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// One way between a caller and a daemon.
+    /// One-way delay between a caller and a daemon.
     pub caller_way_ms: f64,
-    /// One way between two VMs.
+    /// One-way delay between two VMs.
     pub way_ms: f64,
-    /// Time between an entry's change in the store and its being known to the leader.
+    /// Time between the change of an entry in the store and the earliest read that returns it.
     pub entry_lag_ms: f64,
     /// The engines.
     pub engines: Engines,
@@ -27,54 +27,54 @@
     pub models: Models,
     /// Kinds of requests.
     pub classes: Vec<Class>,
-    /// What goes wrong.
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// The engines; all are alike.
+/// The engines, which are all alike.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
-    /// How many.
+    /// Number of engines.
     pub count: usize,
-    /// Requests that one runs at once.
+    /// Requests that an engine runs at once.
     pub slots: u32,
-    /// Requests that one queues beyond them.
+    /// Requests that an engine queues beyond those it runs.
     pub queue: usize,
-    /// Memory for weights and adapters.
+    /// Memory of an engine for weights and adapters.
     pub memory_mb: u64,
-    /// Adapters that one can hold.
+    /// Adapters that an engine can hold.
     pub adapter_slots: u32,
-    /// Tokens of running requests and kept prompt parts.
+    /// Tokens of running requests and cached prompt prefixes that fit an engine's memory.
     pub kv_tokens: u64,
-    /// Time of a step, in which each running request makes a token.
+    /// Duration of a step, in which each running request generates a token.
     pub step_us: f64,
-    /// What each running request adds to a step.
+    /// Time that each running request adds to a step.
     pub step_request_us: f64,
-    /// Tokens of a prompt that are read in a ms.
+    /// Prompt tokens that an engine reads in a ms.
     pub prompt_tokens_per_ms: f64,
-    /// Tokens of prompts that are read in one step at most.
+    /// Maximum number of prompt tokens that are read in one step.
     pub piece_tokens: u32,
     /// Tokens in one event of a stream.
     pub event_tokens: u32,
-    /// Time between two entries in the store.
+    /// Interval between two writes of an engine's entry to the store.
     pub heartbeat_ms: f64,
-    /// Models with a copy on each disk at the start.
+    /// Number of models with a copy on each engine's disk at the start, besides those loaded.
     pub on_disk: usize,
 }
 
-/// The weight store, and loads from nearer copies.
+/// The weight store, and loads from local copies.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct WeightStore {
-    /// Loads at once that keep their full speed.
+    /// Number of concurrent loads that run at full speed; more slow each other down.
     pub full_speed_loads: usize,
-    /// Time of a load from it.
+    /// Duration of a load from the weight store.
     pub load_ms: u64,
-    /// Time of a load from an engine's disk.
+    /// Duration of a load from an engine's disk.
     pub disk_load_ms: u64,
-    /// Time of a load from the memory of its host.
+    /// Duration of a load from the memory of an engine's host.
     pub memory_load_ms: u64,
 }
 
@@ -82,168 +82,172 @@
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Models {
-    /// How many.
+    /// Number of models.
     pub count: usize,
-    /// Size of the smallest.
+    /// Size of the smallest model.
     pub least_mb: u64,
-    /// Size of the largest.
+    /// Size of the largest model.
     pub most_mb: u64,
-    /// Shares of requests that the busiest get; the others share the rest evenly.
+    /// Shares of requests for the busiest models; the other models share the rest evenly.
     pub busy_shares: Vec<f64>,
-    /// Adapters, spread over the models by how busy they are at the start.
+    /// Number of adapters, spread over the models by their share of requests at the start.
     pub adapters: usize,
-    /// Share of requests that name an adapter, where their model has any.
+    /// Share of requests that name an adapter, among those whose model has any.
     pub adapter_share: f64,
 }
 
-/// One kind of requests.
+/// One class of requests.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Time from a caller's first try within which the first event is on time.
+    /// Time from a caller's first attempt within which the first event is on time.
     pub objective_ms: u64,
-    /// Time that a caller has in all.
+    /// Time from a caller's first attempt to its deadline.
     pub deadline_ms: u64,
-    /// Longest pause between two events that is on time.
+    /// Longest pause between two events of an answer that is on time.
     pub pause_ms: u64,
-    /// Urgency; 0 goes first.
+    /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// What an answer on time is worth.
+    /// Value of an answer that is on time.
     pub worth: f64,
-    /// What a late one is worth.
+    /// Value of a late answer.
     pub worth_late: f64,
-    /// Tokens at the beginning of the prompt that all requests for a model share.
+    /// Tokens of the prompt prefix that all requests of the class for a model share.
     pub shared_tokens: u32,
     /// Other tokens of the prompt.
     pub own_tokens: u32,
     /// Tokens of the answer.
     pub output_tokens: u32,
-    /// How often a refused caller comes back.
+    /// Number of times that a rejected caller retries.
     pub retries: u32,
-    /// Endpoints that one try may be sent to.
+    /// Number of endpoints to which one attempt of a caller may be sent.
     pub attempts: u32,
 }
 
-/// Something that goes wrong.
+/// A fault to inject.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields, tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
-    /// The busiest model falls silent, the others move up, and a rare one joins them.
+    /// The ranks of models shift by one: the busiest model becomes rare, and a rare one becomes
+    /// busy.
     ModelShift {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it takes.
+        /// Time over which requests move to the new ranks.
         for_s: f64,
     },
-    /// More requests of a class come.
+    /// The rate of a class rises.
     Burst {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         for_s: f64,
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// How many times as many.
+        /// Factor on the rate of requests.
         times: f64,
     },
-    /// Engines crash, and come back empty with their disks.
+    /// Engines crash and start again without loaded models, but with the copies on their disks.
     EngineCrash {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// How many.
+        /// Number of engines that crash.
         count: usize,
-        /// How long they are away.
+        /// Time until the engines start again.
         for_s: f64,
     },
-    /// Engines are replaced by empty ones without copies, which start first.
+    /// Engines are replaced, a batch at a time, by new engines without loaded models and copies,
+    /// which start before the old ones drain.
     EngineRelease {
-        /// When the first are.
+        /// When the first batch is replaced.
         at_s: f64,
-        /// How many.
+        /// Number of engines that are replaced.
         count: usize,
-        /// At once.
+        /// Number of engines in a batch.
         at_once: usize,
-        /// Time between two groups.
+        /// Time between two batches.
         gap_s: f64,
-        /// Time for which one that is leaving goes on.
+        /// Time for which an engine drains before it stops.
         drain_s: f64,
     },
-    /// Engines take longer for everything.
+    /// Engines take longer for each step.
     EngineSlow {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         for_s: f64,
-        /// How many engines.
+        /// Number of engines affected.
         count: usize,
-        /// How many times as long.
+        /// Factor on the duration of steps.
         times: f64,
     },
     /// Engines fail a share of their requests.
     EngineFails {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         for_s: f64,
-        /// How many engines.
+        /// Number of engines affected.
         count: usize,
-        /// The share.
+        /// Share of requests that fail.
         share: f64,
     },
-    /// Engines fall silent: what is sent to them is lost, and nothing says so.
+    /// Messages to and from engines are lost, without an error.
     EngineSilent {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         for_s: f64,
-        /// How many engines.
+        /// Number of engines affected.
         count: usize,
     },
-    /// Nothing is read from the store: entries are not renewed.
+    /// The store is unavailable: entries are neither read nor written.
     StoreAway {
-        /// When it begins.
+        /// When the fault begins.
         at_s: f64,
-        /// How long it lasts.
+        /// How long the fault lasts.
         for_s: f64,
     },
-    /// The leader is lost; nobody orders until another leads.
+    /// The leader is lost; engines get no orders until another daemon leads.
     LeaderLost {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Time until another leads.
+        /// Time until another daemon leads.
         for_s: f64,
     },
-    /// Daemons are gone; callers find others.
+    /// Daemons stop; callers use the other daemons.
     DaemonsLost {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// How many.
+        /// Number of daemons that stop.
         count: usize,
-        /// How long.
+        /// Time until the daemons start again.
         for_s: f64,
     },
 }
 
 impl Deployment {
-    /// Reads and checks a file.
+    /// Reads a deployment from a file and checks it.
     ///
     /// # Errors
     ///
-    /// Fails with the place of everything that is wrong.
+    /// Fails if the file cannot be read, or is invalid; the error names the position of each
+    /// problem.
     pub fn read(path: &Path) -> Result<Self> {
         let (text, name) = file::read(path)?;
         Self::parse(&text, &name)
     }
 
-    /// Reads and checks the text of a file.
+    /// Reads a deployment from the text of a file and checks it; `name` is the file's name in
+    /// errors.
     ///
     /// # Errors
     ///
-    /// Fails with the place of everything that is wrong.
+    /// Fails if the text is invalid; the error names the position of each problem.
     pub fn parse(text: &str, name: &str) -> Result<Self> {
         let deployment: Self = file::parse(text, name)?;
         deployment.check(name)?;
@@ -251,37 +255,38 @@
     }
 
     fn check(&self, name: &str) -> Result<()> {
-        let need = |holds, field: &str, message: &str| file::need(name, holds, field, message);
-        need(self.duration_s > 0.0, "duration_s", "must be above 0")?;
-        need(self.domains > 0, "domains", "must be at least 1")?;
-        need(self.daemons > 0, "daemons", "must be at least 1")?;
-        need(self.engines.count > 0, "engines.count", "must be at least 1")?;
-        need(self.engines.slots > 0, "engines.slots", "must be at least 1")?;
-        need(self.engines.step_us > 0.0, "engines.step_us", "must be above 0")?;
+        let require =
+            |holds, field: &str, message: &str| file::require(name, holds, field, message);
+        require(self.duration_s > 0.0, "duration_s", "must be above 0")?;
+        require(self.domains > 0, "domains", "must be at least 1")?;
+        require(self.daemons > 0, "daemons", "must be at least 1")?;
+        require(self.engines.count > 0, "engines.count", "must be at least 1")?;
+        require(self.engines.slots > 0, "engines.slots", "must be at least 1")?;
+        require(self.engines.step_us > 0.0, "engines.step_us", "must be above 0")?;
         let reads = self.engines.prompt_tokens_per_ms > 0.0;
-        need(reads, "engines.prompt_tokens_per_ms", "must be above 0")?;
-        need(self.engines.piece_tokens > 0, "engines.piece_tokens", "must be at least 1")?;
-        need(self.engines.event_tokens > 0, "engines.event_tokens", "must be at least 1")?;
-        need(self.models.count > 0, "models.count", "must be at least 1")?;
+        require(reads, "engines.prompt_tokens_per_ms", "must be above 0")?;
+        require(self.engines.piece_tokens > 0, "engines.piece_tokens", "must be at least 1")?;
+        require(self.engines.event_tokens > 0, "engines.event_tokens", "must be at least 1")?;
+        require(self.models.count > 0, "models.count", "must be at least 1")?;
         let is_range = self.models.least_mb > 0 && self.models.least_mb <= self.models.most_mb;
-        need(is_range, "models.least_mb", "must be above 0 and not above `most_mb`")?;
+        require(is_range, "models.least_mb", "must be above 0 and not above `most_mb`")?;
         let fits = self.models.most_mb <= self.engines.memory_mb;
-        need(fits, "models.most_mb", "must not exceed `engines.memory_mb`")?;
+        require(fits, "models.most_mb", "must not exceed `engines.memory_mb`")?;
         let busy: f64 = self.models.busy_shares.iter().sum();
-        need(busy <= 1.0, "models.busy_shares", "must add up to 1 at most")?;
+        require(busy <= 1.0, "models.busy_shares", "must add up to 1 at most")?;
         let has_busy = self.models.busy_shares.len() < self.models.count;
-        need(has_busy, "models.busy_shares", "must be fewer than the models")?;
-        need(!self.classes.is_empty(), "classes", "must not be empty")?;
+        require(has_busy, "models.busy_shares", "must be fewer than the models")?;
+        require(!self.classes.is_empty(), "classes", "must not be empty")?;
         for class in &self.classes {
             let field = format!("classes: {}", class.name);
-            need(class.per_s > 0.0, &field, "`per_s` must be above 0")?;
-            need(class.output_tokens > 0, &field, "`output_tokens` must be at least 1")?;
-            need(class.deadline_ms > 0, &field, "`deadline_ms` must be above 0")?;
+            require(class.per_s > 0.0, &field, "`per_s` must be above 0")?;
+            require(class.output_tokens > 0, &field, "`output_tokens` must be at least 1")?;
+            require(class.deadline_ms > 0, &field, "`deadline_ms` must be above 0")?;
         }
         for fault in &self.faults {
             if let Fault::Burst { class, .. } = fault {
                 let is_known = self.classes.iter().any(|known| known.name == *class);
-                need(is_known, "faults: burst", "`class` must be one of `classes`")?;
+                require(is_known, "faults: burst", "`class` must be one of `classes`")?;
             }
         }
         Ok(())
--- a/crates/trestle-lab/src/lib.rs
+++ b/crates/trestle-lab/src/lib.rs
@@ -1,13 +1,14 @@
-//! Plays deployments in virtual time, with the decisions that run in the daemon.
+//! Simulates deployments in virtual time, with the decisions that run in the daemon.
 //!
 //! A [`deployment::Deployment`] is read from a file in JSON with comments: daemons, engines,
-//! weight store, models, classes of callers, and what goes wrong when. [`sim::play`] plays it
-//! from one seed as discrete events, without sleeping, and gives an [`outcome::Outcome`]. What
-//! becomes of a request, where models go and how engines are ordered is decided by the
-//! functions of `trestle-dispatch` through the calls that the daemon makes; nothing is
-//! decided here. [`experiment`] plays several seeds and policies and compares them in pairs.
+//! weight store, models, classes of requests, and faults with their times. [`sim::run`] simulates
+//! it from one seed as discrete events, without sleeping, and returns an [`outcome::Outcome`]. The
+//! functions of `trestle-dispatch` decide where requests are sent, where models are loaded and
+//! which orders engines get, through the calls that the daemon makes; this crate decides nothing
+//! itself. [`experiment`] runs several seeds under several policies and compares the outcomes in
+//! pairs. [`control`] simulates only the control plane, of hundreds of daemons.
 //!
-//! To try another policy: add a [`trestle_dispatch::policy::Mechanism`], ask for it where it
+//! To try another policy, add a [`trestle_dispatch::policy::Mechanism`], check it where it
 //! decides, and run `trestle-lab ablate` (docs/LAB.md).
 
 pub mod control;
--- a/crates/trestle-lab/src/record.rs
+++ b/crates/trestle-lab/src/record.rs
@@ -1,4 +1,4 @@
-//! A load as it was recorded, to be replayed.
+//! Recorded requests, which can be replayed.
 
 use crate::error::{ReadSnafu, Result, ValueSnafu, WriteSnafu};
 use snafu::ResultExt;
@@ -8,21 +8,21 @@
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Arrival {
-    /// When it came, from the day's beginning.
+    /// Time of the request from the beginning of the run.
     pub at_us: u64,
-    /// Its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Number of its model.
+    /// Number of the model.
     pub model: usize,
-    /// Number of the model's adapter.
+    /// Number of the model's adapter; `None` if the request names none.
     pub adapter: Option<usize>,
 }
 
-/// Writes a load, one request a line.
+/// Writes requests to a file, one JSON object a line.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be written; nothing is left half written.
+/// Fails if the file cannot be written; the file then keeps its former content.
 pub fn write(path: &Path, arrivals: &[Arrival]) -> Result<()> {
     let mut text = String::new();
     for arrival in arrivals {
@@ -32,36 +32,36 @@
     write_whole(path, text.as_bytes())
 }
 
-/// Reads a load.
+/// Reads requests from a file.
 ///
 /// # Errors
 ///
-/// Fails with the line that is wrong.
+/// Fails if the file cannot be read, or with the number of the first invalid line.
 pub fn read(path: &Path) -> Result<Vec<Arrival>> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     lines
         .map(|(number, line)| {
             serde_json::from_str(line).map_err(|error| {
-                let place = format!("{}:{}", path.display(), number + 1);
-                ValueSnafu { place, message: error.to_string() }.build()
+                let location = format!("{}:{}", path.display(), number + 1);
+                ValueSnafu { location, message: error.to_string() }.build()
             })
         })
         .collect()
 }
 
-/// Writes a whole file, or nothing.
+/// Replaces a file's content completely, or leaves it as it was.
 pub(crate) fn write_whole(path: &Path, content: &[u8]) -> Result<()> {
     let part = path.with_extension("part");
     fs::write(&part, content).context(WriteSnafu { path })?;
     fs::rename(&part, path).context(WriteSnafu { path })
 }
 
-/// Writes a page.
+/// Writes an HTML page to a file.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be written; nothing is left half written.
+/// Fails if the file cannot be written; the file then keeps its former content.
 pub fn write_page(path: &Path, page: &str) -> Result<()> {
     write_whole(path, page.as_bytes())
 }
--- a/crates/trestle-lab/src/report.rs
+++ b/crates/trestle-lab/src/report.rs
@@ -1,24 +1,24 @@
-//! Tables of what was played, for people and for programs.
+//! Reports of outcomes, as text, JSON and HTML.
 
 use crate::{
-    experiment::Played,
-    outcome::{End, FIGURES, Outcome},
+    experiment::VariantOutcomes,
+    outcome::{FIGURES, Outcome, RequestEnd},
     plot,
 };
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// Ends in the order of a table.
-const ENDS: [(End, &str); 5] = [
-    (End::OnTime, "on time"),
-    (End::Late, "late"),
-    (End::Refused, "refused"),
-    (End::Left, "left"),
-    (End::Failed, "failed"),
+/// Ends of requests with their titles, in the order of a report.
+const ENDS: [(RequestEnd, &str); 5] = [
+    (RequestEnd::OnTime, "on time"),
+    (RequestEnd::Late, "late"),
+    (RequestEnd::Refused, "refused"),
+    (RequestEnd::Left, "left"),
+    (RequestEnd::Failed, "failed"),
 ];
 
-/// One day, for people.
-pub fn day(outcome: &Outcome) -> String {
+/// Returns the outcome of one run as text.
+pub fn run_text(outcome: &Outcome) -> String {
     let mut text = String::new();
     for (name, class) in &outcome.classes {
         let ends = ENDS.iter().map(|(end, title)| format!("{title} {}", class.count(*end)));
@@ -35,17 +35,17 @@
     for figure in FIGURES {
         let _ = writeln!(text, "{figure}: {:.4}", outcome.figure(figure));
     }
-    let Outcome { near_loads, sends, refused_sends, overfilled, starved, events, .. } = outcome;
+    let Outcome { local_loads, sends, refused_sends, overfilled, starved, events, .. } = outcome;
     let _ = writeln!(
         text,
-        "{near_loads} near loads, {sends} sends, {refused_sends} of them refused; {overfilled} \
+        "{local_loads} near loads, {sends} sends, {refused_sends} of them refused; {overfilled} \
          orders would have overfilled an engine, {starved} models starved; {events} events"
     );
     text
 }
 
-/// One day, for programs.
-pub fn day_json(outcome: &Outcome) -> Value {
+/// Returns the outcome of one run as JSON.
+pub fn run_json(outcome: &Outcome) -> Value {
     let classes = outcome.classes.iter().map(|(name, class)| {
         let ends = ENDS.iter().map(|(end, title)| ((*title).to_owned(), class.count(*end).into()));
         let ends: serde_json::Map<String, Value> = ends.collect();
@@ -65,8 +65,9 @@
     })
 }
 
-/// Variants beside each other, the differences to the first, in Markdown.
-pub fn table(played: &[Played]) -> String {
+/// Returns a table in Markdown with a row for each variant: its mean figures, and the difference
+/// of its worth to that of the first variant.
+pub fn table(results: &[VariantOutcomes]) -> String {
     let mut text = String::from("| variant |");
     for figure in FIGURES {
         let _ = write!(text, " {figure} |");
@@ -74,25 +75,26 @@
     text.push_str(" worth against the first |\n|---|");
     text.push_str(&"---|".repeat(FIGURES.len() + 1));
     text.push('\n');
-    for variant in played {
+    for variant in results {
         let _ = write!(text, "| {} |", variant.name);
         for figure in FIGURES {
             let _ = write!(text, " {} |", number(variant.mean(figure)));
         }
-        let difference = variant.difference(&played[0], "worth");
+        let difference = variant.difference(&results[0], "worth");
         let part = |ppm: i64| ppm as f64 / 1e6;
-        let mark = if difference.is_certain() { "" } else { " (not certain)" };
+        let mark = if difference.is_significant() { "" } else { " (not certain)" };
         let _ = writeln!(
             text,
             " {:+.4} [{:+.4}, {:+.4}]{mark} |",
             part(difference.mean_ppm),
-            part(difference.least_ppm),
-            part(difference.most_ppm),
+            part(difference.lower_ppm),
+            part(difference.upper_ppm),
         );
     }
     text
 }
 
+/// Formats a value with four decimals, or without decimals from 10 on.
 fn number(value: f64) -> String {
     match value {
         value if value.abs() < 10.0 => format!("{value:.4}"),
@@ -100,15 +102,15 @@
     }
 }
 
-/// Variants beside each other, for programs.
-pub fn table_json(played: &[Played]) -> Value {
-    let each = played.iter().map(|variant| {
+/// Returns the mean figures of all variants and their differences to the first, as JSON.
+pub fn table_json(results: &[VariantOutcomes]) -> Value {
+    let each = results.iter().map(|variant| {
         let figures = FIGURES.iter().map(|figure| {
-            let difference = variant.difference(&played[0], figure);
+            let difference = variant.difference(&results[0], figure);
             let content = json!({
                 "mean": variant.mean(figure),
                 "difference_ppm":
-                    [difference.mean_ppm, difference.least_ppm, difference.most_ppm],
+                    [difference.mean_ppm, difference.lower_ppm, difference.upper_ppm],
             });
             ((*figure).to_owned(), content)
         });
@@ -118,12 +120,12 @@
     each.collect()
 }
 
-/// A page with the table and plots of some figures.
+/// Returns an HTML page with the table and plots of some figures.
 ///
 /// # Errors
 ///
 /// Fails if a plot cannot be drawn.
-pub fn page(title: &str, played: &[Played]) -> crate::error::Result<String> {
+pub fn page(title: &str, results: &[VariantOutcomes]) -> crate::error::Result<String> {
     let mut text = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{0}</title>\n\
          <style>body{{font:15px/1.5 sans-serif;max-width:72em;margin:2em auto;padding:0 1em}}\
@@ -132,31 +134,32 @@
          </head><body>\n<h1>{0}</h1>\n",
         escape(title)
     );
-    let seeds = played.first().map_or(0, |variant| variant.outcomes.len());
+    let seeds = results.first().map_or(0, |variant| variant.outcomes.len());
     let _ = writeln!(
         text,
         "<p>{seeds} seeds each; the differences are to <b>{}</b>, over the same seeds, with \
          their 95 % confidence interval.</p>",
-        escape(played.first().map_or("", |variant| variant.name.as_str()))
+        escape(results.first().map_or("", |variant| variant.name.as_str()))
     );
     text.push_str("<table><tr><th>variant</th>");
     for figure in FIGURES {
         let _ = write!(text, "<th>{figure}</th>");
     }
     text.push_str("<th>worth against the first</th></tr>\n");
-    for line in table(played).lines().skip(2) {
+    for line in table(results).lines().skip(2) {
         let cells = line.trim_matches('|').split('|');
         let cells = cells.map(|cell| format!("<td>{}</td>", escape(cell.trim())));
         let _ = writeln!(text, "<tr>{}</tr>", cells.collect::<String>());
     }
     text.push_str("</table>\n");
     for figure in ["worth", "served", "cold_p99_ms", "idle_share"] {
-        text.push_str(&plot::variants(figure, played)?);
+        text.push_str(&plot::variants(figure, results)?);
     }
     text.push_str("</body></html>\n");
     Ok(text)
 }
 
+/// Escapes the characters that have a meaning in HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/trestle-lab/src/sim/engine.rs
+++ b/crates/trestle-lab/src/sim/engine.rs
@@ -1,9 +1,10 @@
 //! A model of one engine.
 //!
-//! Running requests make one token each in a step. A step lasts longer the more of them run,
-//! and while prompts are read, a piece at a time. Running requests and kept prompt parts share
-//! the memory for tokens; parts that were used longest ago yield. One order at a time is
-//! carried out; what it concerns is refused meanwhile.
+//! In each step every running request generates one token. A step takes longer the more requests
+//! run, and when it reads prompts, a chunk at a time. Running requests and cached prompt prefixes
+//! share the memory for tokens; the prefixes used least recently are evicted first. The engine
+//! executes one order at a time; a request for a model or adapter that is not loaded or is being
+//! unloaded is rejected.
 
 use crate::deployment::Engines;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -13,12 +14,12 @@
     orders::{Order, OrderAnswer},
 };
 
-/// Time of an adapter's load.
+/// Duration of loading an adapter.
 const ADAPTER_LOAD_US: u64 = 7_000;
-/// Time of an unload with nothing running.
+/// Duration of unloading a model that no request uses.
 const UNLOAD_US: u64 = 70_000;
 
-/// A request at an engine.
+/// One request that an engine runs or queues.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) request: usize,
@@ -26,10 +27,10 @@
     pub(super) adapter: Option<AdapterName>,
     pub(super) priority: u8,
     pub(super) shared_tokens: u32,
-    prompt_left: u32,
+    unread_prompt_tokens: u32,
     pub(super) prompt_tokens: u32,
     pub(super) output_tokens: u32,
-    made_tokens: u32,
+    generated_tokens: u32,
     last_event_us: u64,
     longest_gap_us: u64,
 }
@@ -50,10 +51,10 @@
             adapter,
             priority,
             shared_tokens,
-            prompt_left: prompt_tokens,
+            unread_prompt_tokens: prompt_tokens,
             prompt_tokens,
             output_tokens,
-            made_tokens: 0,
+            generated_tokens: 0,
             last_event_us: 0,
             longest_gap_us: 0,
         }
@@ -68,63 +69,65 @@
     }
 }
 
-/// What a step has led to.
+/// A part of an answer that a step has produced.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Made {
-    /// A request's first event.
+pub(super) enum StepEvent {
+    /// The first event of the stream of a request, given by its index.
     First(usize),
-    /// A request's end, with the longest gap between two of its events.
+    /// The last event of a request's stream, with the longest gap between two of its events in us.
     Done(usize, u64),
 }
 
-/// What an order needs of the world: the time of a load.
+/// Where the weights of a model are loaded from; decides how long the load takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Source {
+pub(super) enum LoadSource {
     Memory,
     Disk,
     WeightStore,
 }
 
 #[derive(Debug, Clone)]
-enum Work {
+enum ActiveOrder {
     Load(ModelName),
     Unload(ModelName),
     LoadAdapter(ModelName, AdapterName),
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) name: EndpointName,
     pub(super) domain: String,
     pub(super) is_alive: bool,
-    pub(super) is_leaving: bool,
-    /// Until when nothing reaches it.
+    pub(super) is_draining: bool,
+    /// Time until which messages to and from the engine are lost.
     pub(super) silent_until_us: u64,
-    /// How many times as long everything takes.
-    pub(super) slowness: f64,
-    /// Share of its requests that it fails.
-    pub(super) failing_share: f64,
+    /// Factor by which steps take longer than usual.
+    pub(super) slowdown: f64,
+    /// Share of requests that the engine fails.
+    pub(super) failure_share: f64,
     pub(super) held: Held,
     pub(super) in_memory: BTreeSet<ModelName>,
     pub(super) on_disk: BTreeSet<ModelName>,
     pub(super) order_count: u64,
-    work: Option<(Work, u64)>,
+    active_order: Option<(ActiveOrder, u64)>,
     running: Vec<Run>,
     waiting: VecDeque<Run>,
-    /// Kept prompt parts with the time of their last use.
-    kept: BTreeMap<(ModelName, Option<AdapterName>, u32), u64>,
-    /// Whether a step is under way, and the prompt tokens that it reads.
+    /// Cached prompt prefixes with the time of their last use; a key is the model, the adapter and
+    /// the number of tokens.
+    prefix_cache: BTreeMap<(ModelName, Option<AdapterName>, u32), u64>,
+    /// Prompt tokens that the current step reads; `None` while no step runs.
     step: Option<u32>,
-    /// Steps of engines that came before at this place never end here.
+    /// Number of this start of the engine; events of earlier starts in the same place are ignored.
     pub(super) start: u64,
 }
 
-/// What an order has led to at an engine.
-pub(super) struct Ordered {
+/// How an engine has responded to an order.
+pub(super) struct OrderOutcome {
     pub(super) answer: OrderAnswer,
-    /// When to look whether it is carried out.
-    pub(super) look_at_us: Option<u64>,
+    /// Time at which the order may be complete; `None` unless it was accepted and takes time.
+    pub(super) check_at_us: Option<u64>,
+    /// Whether the order would have exceeded the engine's memory or adapter slots.
     pub(super) overfills: bool,
 }
 
@@ -134,35 +137,40 @@
             name: name.into(),
             domain,
             is_alive: true,
-            is_leaving: false,
+            is_draining: false,
             silent_until_us: 0,
-            slowness: 1.0,
-            failing_share: 0.0,
+            slowdown: 1.0,
+            failure_share: 0.0,
             held: Held::new(),
             in_memory: BTreeSet::new(),
             on_disk: BTreeSet::new(),
             order_count: 0,
-            work: None,
+            active_order: None,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            kept: BTreeMap::new(),
+            prefix_cache: BTreeMap::new(),
             step: None,
             start,
         }
     }
 
-    /// Whether a model can be asked for now, and an adapter of it.
+    /// Returns whether requests for a model, and for an adapter of it if one is given, are
+    /// accepted now.
     fn has(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
-        let goes = matches!(&self.work, Some((Work::Unload(going), _)) if going == model);
+        let is_unloading = matches!(
+            &self.active_order,
+            Some((ActiveOrder::Unload(unloading), _)) if unloading == model
+        );
         let Some(adapters) = self.held.get(model) else { return false };
-        !goes && adapter.is_none_or(|adapter| adapters.contains(adapter))
+        !is_unloading && adapter.is_none_or(|adapter| adapters.contains(adapter))
     }
 
-    /// Takes a request.
+    /// Queues a request behind those of the same or a more urgent priority.
     ///
     /// # Errors
     ///
-    /// Fails if it has not what the request needs (true), or is full (false).
+    /// Fails with `true` if the model or adapter is not loaded, and with `false` if the queue is
+    /// full or the request exceeds the memory for tokens.
     pub(super) fn submit(&mut self, run: Run, spec: &Engines) -> Result<(), bool> {
         if !self.has(&run.model, run.adapter.as_ref()) {
             return Err(true);
@@ -170,29 +178,30 @@
         if self.waiting.len() >= spec.queue || run.tokens() > spec.kv_tokens {
             return Err(false);
         }
-        let at = self.waiting.iter().position(|other| other.priority > run.priority);
-        self.waiting.insert(at.unwrap_or(self.waiting.len()), run);
+        let position = self.waiting.iter().position(|other| other.priority > run.priority);
+        self.waiting.insert(position.unwrap_or(self.waiting.len()), run);
         Ok(())
     }
 
-    /// Drops a request whose caller has gone.
+    /// Drops a request whose caller has left.
     pub(super) fn cancel(&mut self, request: usize) {
         self.running.retain(|run| run.request != request);
         self.waiting.retain(|run| run.request != request);
     }
 
-    /// All its requests, when it ends.
-    pub(super) fn drain(&mut self) -> Vec<usize> {
+    /// Removes all requests and returns their indexes.
+    pub(super) fn take_requests(&mut self) -> Vec<usize> {
         let waiting = self.waiting.drain(..).map(|run| run.request);
         self.running.drain(..).map(|run| run.request).chain(waiting).collect()
     }
 
-    /// Whether requests for a model run.
+    /// Returns whether requests for a model run or are queued.
     pub(super) fn runs(&self, model: &ModelName) -> bool {
         self.running.iter().chain(&self.waiting).any(|run| run.model == *model)
     }
 
-    /// Begins a step if there is work and none is under way; returns how long it takes.
+    /// Begins a step and returns its duration in us, or `None` if a step runs already or there is
+    /// nothing to run.
     pub(super) fn begin_step(&mut self, spec: &Engines, now_us: u64) -> Option<u64> {
         if self.step.is_some() || !self.is_alive {
             return None;
@@ -201,14 +210,15 @@
         if self.running.is_empty() {
             return None;
         }
-        let unread = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
-        let piece = unread.min(spec.piece_tokens);
-        self.step = Some(piece);
-        let read_us = f64::from(piece) / spec.prompt_tokens_per_ms * 1e3;
+        let unread_tokens = self.running.iter().map(|run| run.unread_prompt_tokens).sum::<u32>();
+        let chunk_tokens = unread_tokens.min(spec.piece_tokens);
+        self.step = Some(chunk_tokens);
+        let read_us = f64::from(chunk_tokens) / spec.prompt_tokens_per_ms * 1e3;
         let step_us = spec.step_us + spec.step_request_us * self.running.len() as f64;
-        Some(((step_us + read_us) * self.slowness) as u64)
+        Some(((step_us + read_us) * self.slowdown) as u64)
     }
 
+    /// Moves requests from the queue to the batch while slots and memory for tokens last.
     fn admit(&mut self, spec: &Engines, now_us: u64) {
         while self.running.len() < spec.slots as usize {
             let used: u64 = self.running.iter().map(Run::tokens).sum();
@@ -218,116 +228,123 @@
             }
             let Some(mut run) = self.waiting.pop_front() else { return };
             let (model, adapter) = run.key();
-            let part = (model, adapter, run.shared_tokens);
-            if let Some(used_us) = self.kept.get_mut(&part) {
+            let prefix = (model, adapter, run.shared_tokens);
+            if let Some(used_us) = self.prefix_cache.get_mut(&prefix) {
                 *used_us = now_us;
-                run.prompt_left -= run.shared_tokens;
+                run.unread_prompt_tokens -= run.shared_tokens;
             }
             self.running.push(run);
-            self.yield_parts(spec);
+            self.evict_prefixes(spec);
         }
     }
 
-    /// Drops kept parts, those used longest ago first, until all fits in.
-    fn yield_parts(&mut self, spec: &Engines) {
+    /// Evicts the least recently used prefixes until running requests and cached prefixes fit the
+    /// memory for tokens.
+    fn evict_prefixes(&mut self, spec: &Engines) {
         let running: u64 = self.running.iter().map(Run::tokens).sum();
         loop {
-            let kept: u64 = self.kept.keys().map(|(_, _, tokens)| u64::from(*tokens)).sum();
-            if running + kept <= spec.kv_tokens || self.kept.is_empty() {
+            let cached: u64 =
+                self.prefix_cache.keys().map(|(_, _, tokens)| u64::from(*tokens)).sum();
+            if running + cached <= spec.kv_tokens || self.prefix_cache.is_empty() {
                 return;
             }
-            let oldest = self.kept.iter().min_by_key(|(_, used_us)| **used_us);
-            let Some(oldest) = oldest.map(|(part, _)| part.clone()) else { return };
-            self.kept.remove(&oldest);
+            let oldest = self.prefix_cache.iter().min_by_key(|(_, used_us)| **used_us);
+            let Some(oldest) = oldest.map(|(prefix, _)| prefix.clone()) else { return };
+            self.prefix_cache.remove(&oldest);
         }
     }
 
-    /// Ends the step that is under way.
-    pub(super) fn end_step(&mut self, spec: &Engines, now_us: u64) -> Vec<Made> {
-        let mut piece = self.step.take().unwrap_or_default();
-        let mut made = Vec::new();
+    /// Ends the current step and returns the parts of answers that it has produced.
+    pub(super) fn end_step(&mut self, spec: &Engines, now_us: u64) -> Vec<StepEvent> {
+        let mut chunk_tokens = self.step.take().unwrap_or_default();
+        let mut events = Vec::new();
         for run in &mut self.running {
-            if run.prompt_left > 0 {
-                let read = run.prompt_left.min(piece);
-                run.prompt_left -= read;
-                piece -= read;
-                if run.prompt_left == 0 {
-                    let part = (run.model.clone(), run.adapter.clone(), run.shared_tokens);
-                    self.kept.insert(part, now_us);
+            if run.unread_prompt_tokens > 0 {
+                let read_tokens = run.unread_prompt_tokens.min(chunk_tokens);
+                run.unread_prompt_tokens -= read_tokens;
+                chunk_tokens -= read_tokens;
+                if run.unread_prompt_tokens == 0 {
+                    let prefix = (run.model.clone(), run.adapter.clone(), run.shared_tokens);
+                    self.prefix_cache.insert(prefix, now_us);
                 }
                 continue;
             }
-            run.made_tokens += 1;
-            let is_last = run.made_tokens >= run.output_tokens;
-            if run.made_tokens % spec.event_tokens != 0 && !is_last {
+            run.generated_tokens += 1;
+            let is_last = run.generated_tokens >= run.output_tokens;
+            if run.generated_tokens % spec.event_tokens != 0 && !is_last {
                 continue;
             }
             if run.last_event_us == 0 {
-                made.push(Made::First(run.request));
+                events.push(StepEvent::First(run.request));
             } else {
                 run.longest_gap_us = run.longest_gap_us.max(now_us - run.last_event_us);
             }
             run.last_event_us = now_us;
             if is_last {
-                made.push(Made::Done(run.request, run.longest_gap_us));
+                events.push(StepEvent::Done(run.request, run.longest_gap_us));
             }
         }
-        self.running.retain(|run| run.made_tokens < run.output_tokens);
-        self.yield_parts(spec);
-        made
+        self.running.retain(|run| run.generated_tokens < run.output_tokens);
+        self.evict_prefixes(spec);
+        events
     }
 
-    /// From where a model would come.
-    pub(super) fn source(&self, model: &ModelName) -> Source {
+    /// Returns where a load of a model would read its weights.
+    pub(super) fn source(&self, model: &ModelName) -> LoadSource {
         if self.in_memory.contains(model) {
-            Source::Memory
+            LoadSource::Memory
         } else if self.on_disk.contains(model) {
-            Source::Disk
+            LoadSource::Disk
         } else {
-            Source::WeightStore
+            LoadSource::WeightStore
         }
     }
 
-    /// Takes an order that expects a count of accepted orders. `fits` says whether what it
-    /// would load has room, `load_us` how long the load of a model would take.
-    pub(super) fn order(
+    /// Handles an order whose sender expects the engine to have accepted `expected` orders. `fits`
+    /// is whether the model or adapter to load has room, `load_us` the duration of a model's load.
+    pub(super) fn handle_order(
         &mut self,
         order: &Order,
         expected: u64,
         fits: bool,
         load_us: u64,
         now_us: u64,
-    ) -> Ordered {
-        let answer = |answer| Ordered { answer, look_at_us: None, overfills: false };
+    ) -> OrderOutcome {
+        let answer = |answer| OrderOutcome { answer, check_at_us: None, overfills: false };
         if self.is_fulfilled(order) {
             return answer(OrderAnswer::Fulfilled);
         }
-        if self.work.is_some() || expected != self.order_count {
+        if self.active_order.is_some() || expected != self.order_count {
             return answer(OrderAnswer::Conflict);
         }
         if !fits {
-            return Ordered { answer: OrderAnswer::Invalid, look_at_us: None, overfills: true };
+            return OrderOutcome {
+                answer: OrderAnswer::Invalid,
+                check_at_us: None,
+                overfills: true,
+            };
         }
         self.order_count += 1;
-        let (work, takes_us) = match order {
-            Order::LoadModel(model) => (Work::Load(model.clone()), load_us),
-            Order::UnloadModel(model) => (Work::Unload(model.clone()), UNLOAD_US),
+        let (active_order, duration_us) = match order {
+            Order::LoadModel(model) => (ActiveOrder::Load(model.clone()), load_us),
+            Order::UnloadModel(model) => (ActiveOrder::Unload(model.clone()), UNLOAD_US),
             Order::LoadAdapter(model, adapter) => {
-                (Work::LoadAdapter(model.clone(), adapter.clone()), ADAPTER_LOAD_US)
+                (ActiveOrder::LoadAdapter(model.clone(), adapter.clone()), ADAPTER_LOAD_US)
             }
             Order::UnloadAdapter(model, adapter) => {
                 if let Some(adapters) = self.held.get_mut(model) {
                     adapters.remove(adapter);
                 }
-                // One that nobody uses goes at once, and that counts as an order.
+                // An adapter is unloaded at once, which still counts as an accepted order.
                 return answer(OrderAnswer::Fulfilled);
             }
         };
-        let done_us = now_us + takes_us;
-        self.work = Some((work, done_us));
-        Ordered { answer: OrderAnswer::Accepted, look_at_us: Some(done_us), overfills: false }
+        let done_us = now_us + duration_us;
+        self.active_order = Some((active_order, done_us));
+        OrderOutcome { answer: OrderAnswer::Accepted, check_at_us: Some(done_us), overfills: false }
     }
 
+    /// Returns whether the engine is already in the state that an order asks for.
     fn is_fulfilled(&self, order: &Order) -> bool {
         let has = |model: &ModelName, adapter: &AdapterName| {
             self.held.get(model).is_some_and(|adapters| adapters.contains(adapter))
@@ -340,35 +357,35 @@
         }
     }
 
-    /// Whether an order is being carried out.
+    /// Returns whether an order is being executed.
     pub(super) fn is_busy(&self) -> bool {
-        self.work.is_some()
+        self.active_order.is_some()
     }
 
-    /// Ends the work of an order if it is due and nothing stands against it; returns the model
-    /// that has been loaded, if one has.
-    pub(super) fn look_at_work(&mut self, now_us: u64) -> Option<ModelName> {
-        let (work, done_us) = self.work.take()?;
-        let waits = match &work {
-            Work::Unload(model) => self.runs(model),
-            Work::Load(_) | Work::LoadAdapter(..) => false,
+    /// Completes the current order if its time has come and, for an unload, no request uses the
+    /// model. Returns the model if it was a load of one.
+    pub(super) fn complete_due_order(&mut self, now_us: u64) -> Option<ModelName> {
+        let (active_order, done_us) = self.active_order.take()?;
+        let must_wait = match &active_order {
+            ActiveOrder::Unload(model) => self.runs(model),
+            ActiveOrder::Load(_) | ActiveOrder::LoadAdapter(..) => false,
         };
-        if now_us < done_us || waits {
-            self.work = Some((work, done_us));
+        if now_us < done_us || must_wait {
+            self.active_order = Some((active_order, done_us));
             return None;
         }
-        match work {
-            Work::Load(model) => {
+        match active_order {
+            ActiveOrder::Load(model) => {
                 self.held.entry(model.clone()).or_default();
                 self.in_memory.insert(model.clone());
                 self.on_disk.insert(model.clone());
                 return Some(model);
             }
-            Work::Unload(model) => {
+            ActiveOrder::Unload(model) => {
                 self.held.remove(&model);
-                self.kept.retain(|(of, ..), _| *of != model);
+                self.prefix_cache.retain(|(of, ..), _| *of != model);
             }
-            Work::LoadAdapter(model, adapter) => {
+            ActiveOrder::LoadAdapter(model, adapter) => {
                 if let Some(adapters) = self.held.get_mut(&model) {
                     adapters.insert(adapter);
                 }
--- a/crates/trestle-lab/src/sim/mod.rs
+++ b/crates/trestle-lab/src/sim/mod.rs
@@ -1,37 +1,38 @@
-//! One day in virtual time.
+//! Discrete-event simulation of a deployment with engines and callers, in virtual time.
 //!
-//! [`world`] holds everything and takes one event after the other from [`queue`]. [`engine`]
-//! is a model of an engine with batches, prompts read in pieces, memory for prompts, orders
-//! and loads; [`requests`] sees callers' requests through, [`leading`] is the daemon that
-//! leads with what the others tell it, [`troubles`] makes things go wrong, and [`demand`]
-//! draws what is asked for.
+//! [`simulation`] holds the whole state and handles the events of [`queue`] one after the other.
+//! [`engine`] models an engine: batches, chunked prefill, a cache of prompt prefixes, orders and
+//! loads. [`requests`] follows callers' requests to their end, [`leader`] is the daemon that
+//! leads, with the reports that the others send it, [`faults`] injects the faults of the
+//! deployment's file, and [`workload`] generates the requests.
 
-mod demand;
 mod engine;
-mod leading;
+mod faults;
+mod leader;
 mod queue;
 mod requests;
-mod troubles;
-mod world;
+mod simulation;
+mod workload;
 
 use crate::{deployment::Deployment, outcome::Outcome, record::Arrival};
 use trestle_dispatch::policy::Policy;
 
-/// What is asked for in a day.
+/// The requests of one run.
 #[derive(Debug, Clone, Copy)]
-pub enum Load<'a> {
-    /// Drawn by the deployment's file.
-    Drawn,
-    /// As it was recorded.
+pub enum Workload<'a> {
+    /// Requests generated from the seed by the rates in the deployment's file.
+    Generated,
+    /// Requests read from a record.
     Recorded(&'a [Arrival]),
 }
 
-/// Plays a day; the same seed gives the same outcome.
-pub fn play(deployment: &Deployment, policy: &Policy, seed: u64, load: Load<'_>) -> Outcome {
-    world::World::new(deployment, policy, seed, load).play()
+/// Simulates a deployment under a policy and returns the outcome; the same seed gives the same
+/// outcome.
+pub fn run(deployment: &Deployment, policy: &Policy, seed: u64, workload: Workload<'_>) -> Outcome {
+    simulation::Simulation::new(deployment, policy, seed, workload).run()
 }
 
-/// The load that a seed draws.
-pub fn draw(deployment: &Deployment, seed: u64) -> Vec<Arrival> {
-    demand::draw(deployment, seed)
+/// Returns the requests that a seed generates, in the order of their times.
+pub fn generate_workload(deployment: &Deployment, seed: u64) -> Vec<Arrival> {
+    workload::generate(deployment, seed)
 }
--- a/crates/trestle-lab/src/sim/queue.rs
+++ b/crates/trestle-lab/src/sim/queue.rs
@@ -1,11 +1,12 @@
-//! Events in the order of their times; those of the same time in the order they were made.
+//! A queue of events in the order of their times; events of the same time keep the order in which
+//! they were added.
 
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BinaryHeap},
 };
 
-/// Events that are still to come.
+/// The pending events of a simulation.
 #[derive(Debug)]
 pub(super) struct Queue<E> {
     order: BinaryHeap<Reverse<(u64, u64)>>,
@@ -20,20 +21,20 @@
 }
 
 impl<E> Queue<E> {
-    /// Adds an event.
+    /// Adds an event that happens at `at_us` of virtual time.
     pub(super) fn push(&mut self, at_us: u64, event: E) {
         self.order.push(Reverse((at_us, self.next)));
         self.events.insert(self.next, event);
         self.next += 1;
     }
 
-    /// The next event with its time.
+    /// Removes and returns the earliest event with its time, or `None` if the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(u64, E)> {
         let Reverse((at_us, number)) = self.order.pop()?;
         Some((at_us, self.events.remove(&number)?))
     }
 
-    /// Events so far.
+    /// Returns the number of events added so far, including those removed since.
     pub(super) fn count(&self) -> u64 {
         self.next
     }
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -1,10 +1,10 @@
-//! Callers' requests, from the first try to the end.
+//! Callers' requests, from the first attempt to the end.
 
 use super::{
-    engine::{Made, Run},
-    world::{Event, World, adapter_name},
+    engine::{Run, StepEvent},
+    simulation::{Event, Simulation, adapter_name},
 };
-use crate::outcome::End;
+use crate::outcome::RequestEnd;
 use rand::RngExt;
 use trestle_core::names::EndpointName;
 use trestle_dispatch::{
@@ -17,56 +17,65 @@
     wait_limit,
 };
 
-/// Longest time without a look while a request waits.
-const LOOK_MS: u64 = 250;
-/// Part of its remaining time after which a refused caller comes back at the latest.
-const COME_BACK_PART: u64 = 3;
+/// Longest interval between two endpoint selections for a waiting request.
+const MAX_RECHECK_MS: u64 = 250;
+/// A rejected caller retries after at most this fraction (one third) of its remaining time.
+const RETRY_DELAY_DIVISOR: u64 = 3;
 
-/// Where a request is.
+/// The phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum State {
-    /// On its way to a daemon, or its caller stays away for a while.
-    Away,
-    /// At a daemon, waiting.
+pub(super) enum Phase {
+    /// The request is on its way to a daemon, or its caller waits before a retry.
+    AtCaller,
+    /// The request waits at a daemon.
     Waiting,
-    /// At an engine.
+    /// The request was sent to an engine.
     Sent,
-    /// Over.
-    Ended,
+    /// The request has ended.
+    Finished,
 }
 
-/// One caller's request.
+/// The state of one caller's request.
 #[derive(Debug)]
 pub(super) struct Request {
-    pub(super) state: State,
+    pub(super) phase: Phase,
+    /// Number of attempts that the caller has made; each may be sent to several engines.
     pub(super) attempt: u32,
     class: usize,
     model: usize,
     daemon: usize,
     head: RequestHead,
-    first_try_us: u64,
+    /// Time at which the caller made its first attempt.
+    first_attempt_us: u64,
+    /// Time at which the current attempt reached a daemon.
     arrived_us: u64,
+    /// Time that the caller had left when the current attempt reached the daemon.
     allowed_ms: u64,
     sends: Sends,
+    /// Number of sends to engines over all attempts.
     pub(super) send: u32,
     endpoint: Option<Endpoint>,
     engine: Option<usize>,
-    wish: Option<u64>,
-    look_turn: u64,
+    /// Key of the request's entry in the daemon's local demand, while it waits.
+    demand_id: Option<u64>,
+    /// Number of endpoint selections so far; a scheduled recheck with another number is ignored.
+    selection_turn: u64,
+    /// Time from the first attempt to the first event of the answer; `None` before that event.
     first_ms: Option<u64>,
+    /// Whether no engine held the model when the request was made.
     was_cold: bool,
     was_sent: bool,
 }
 
 impl Request {
-    /// Whether a daemon has it now.
+    /// Returns whether the request is at this daemon, waiting or sent to an engine.
     pub(super) fn is_at_daemon(&self, daemon: usize) -> bool {
-        self.daemon == daemon && matches!(self.state, State::Waiting | State::Sent)
+        self.daemon == daemon && matches!(self.phase, Phase::Waiting | Phase::Sent)
     }
 }
 
-impl World<'_> {
-    pub(super) fn arrive(&mut self, number: usize) {
+impl Simulation<'_> {
+    pub(super) fn caller_arrived(&mut self, number: usize) {
         let arrival = &self.arrivals[number];
         let class = self.deployment.classes.iter().position(|class| class.name == arrival.class);
         let Some(class) = class else { return };
@@ -81,198 +90,211 @@
             ..RequestHead::default()
         };
         let model = arrival.model;
-        self.served.entry(model).or_insert((0, false)).0 += 1;
+        self.model_requests.entry(model).or_insert((0, false)).0 += 1;
         let held = |engine: &super::engine::Engine| engine.held.contains_key(&self.names[model]);
         let was_cold = !self.engines.iter().any(held);
         self.requests.push(Request {
-            state: State::Away,
+            phase: Phase::AtCaller,
             attempt: 0,
             class,
             model,
             daemon: 0,
             head,
-            first_try_us: self.now_us,
+            first_attempt_us: self.now_us,
             arrived_us: self.now_us,
             allowed_ms: 0,
             sends: Sends::default(),
             send: 0,
             endpoint: None,
             engine: None,
-            wish: None,
-            look_turn: 0,
+            demand_id: None,
+            selection_turn: 0,
             first_ms: None,
             was_cold,
             was_sent: false,
         });
-        let way_us = self.caller_way_us();
+        let delay_us = self.caller_delay_us();
         let request = self.requests.len() - 1;
-        self.queue.push(self.now_us + way_us, Event::Try(request));
+        self.queue.push(self.now_us + delay_us, Event::CallerAttempt(request));
     }
 
-    pub(super) fn begin_try(&mut self, request: usize) {
-        let Some(daemon) = self.draw_daemon() else { return self.leave(request) };
+    pub(super) fn begin_attempt(&mut self, request: usize) {
+        let Some(daemon) = self.draw_daemon() else { return self.caller_left(request) };
         let now_us = self.now_us;
         let now_ms = self.now_ms();
-        let of = &mut self.requests[request];
-        let route = &self.routes[of.class];
-        let past_ms = (now_us - of.first_try_us) / 1_000;
-        of.daemon = daemon;
-        of.attempt += 1;
-        of.arrived_us = now_us;
-        of.allowed_ms = route.timeout_ms.saturating_sub(past_ms);
-        of.sends = Sends::default();
-        of.state = State::Waiting;
-        let stays_ms = admission::caller_timeout_ms(route, of.allowed_ms);
-        let attempt = of.attempt;
-        self.queue.push(now_us + stays_ms * 1_000, Event::Leave(request, attempt));
+        let request_state = &mut self.requests[request];
+        let route = &self.routes[request_state.class];
+        let since_first_ms = (now_us - request_state.first_attempt_us) / 1_000;
+        request_state.daemon = daemon;
+        request_state.attempt += 1;
+        request_state.arrived_us = now_us;
+        request_state.allowed_ms = route.timeout_ms.saturating_sub(since_first_ms);
+        request_state.sends = Sends::default();
+        request_state.phase = Phase::Waiting;
+        let caller_timeout_ms = admission::caller_timeout_ms(route, request_state.allowed_ms);
+        let attempt = request_state.attempt;
+        self.queue.push(now_us + caller_timeout_ms * 1_000, Event::CallerLeaves(request, attempt));
         let local_view = &mut self.daemons[daemon].local_view;
         local_view.request_arrived(&self.service, now_ms);
-        if let Some(model) = &of.head.model {
+        if let Some(model) = &request_state.head.model {
             local_view.model_request_arrived(&self.service, model, now_ms);
         }
-        self.look(request);
+        self.select_endpoint(request);
     }
 
-    pub(super) fn look_again(&mut self, request: usize, turn: u64) {
-        let of = &self.requests[request];
-        if of.state == State::Waiting && of.look_turn == turn {
-            self.look(request);
+    pub(super) fn recheck(&mut self, request: usize, turn: u64) {
+        let request_state = &self.requests[request];
+        if request_state.phase == Phase::Waiting && request_state.selection_turn == turn {
+            self.select_endpoint(request);
         }
     }
 
-    /// Looks what becomes of a request that is at its daemon.
-    pub(super) fn look(&mut self, request: usize) {
+    /// Decides by the daemon's functions whether a request is sent, waits or is rejected.
+    pub(super) fn select_endpoint(&mut self, request: usize) {
         let now_ms = self.now_ms();
-        let lot = self.lot();
-        let of = &mut self.requests[request];
-        of.look_turn += 1;
-        let elapsed_ms = (self.now_us - of.arrived_us) / 1_000;
-        let asking = RequestContext {
-            route: &self.routes[of.class],
+        let random = self.random_u64();
+        let request_state = &mut self.requests[request];
+        request_state.selection_turn += 1;
+        let elapsed_ms = (self.now_us - request_state.arrived_us) / 1_000;
+        let context = RequestContext {
+            route: &self.routes[request_state.class],
             service: &self.service,
-            head: &of.head,
-            allowed_ms: of.allowed_ms,
+            head: &request_state.head,
+            allowed_ms: request_state.allowed_ms,
             elapsed_ms,
-            demand_id: of.wish,
+            demand_id: request_state.demand_id,
             is_trial: false,
             has_quota: true,
             send_permit: None,
         };
-        let local_view = &mut self.daemons[of.daemon].local_view;
-        match selection::select(local_view, asking, &of.sends, lot, now_ms) {
+        let local_view = &mut self.daemons[request_state.daemon].local_view;
+        match selection::select(local_view, context, &request_state.sends, random, now_ms) {
             Selection::Send(endpoint) => self.send(request, endpoint),
             Selection::Wait { until_ms } => self.wait(request, until_ms, elapsed_ms),
-            Selection::RequestTrial => unreachable!("engines here do not end under requests"),
-            Selection::ChargeQuota => unreachable!("teams here have no limits"),
+            Selection::RequestTrial => unreachable!("simulated engines never crash under requests"),
+            Selection::ChargeQuota => unreachable!("simulated teams have no limits"),
             Selection::RequestSendPermit(_) | Selection::Throttled(_) => {
-                unreachable!("engines here name no limits")
+                unreachable!("simulated engines announce no limits")
             }
-            Selection::Refuse { retry_after_ms, .. } => self.refuse(request, retry_after_ms),
+            Selection::Refuse { retry_after_ms, .. } => self.reject(request, retry_after_ms),
         }
     }
 
     fn wait(&mut self, request: usize, until_ms: u64, elapsed_ms: u64) {
-        if self.requests[request].wish.is_none() {
-            self.make_wish(request);
+        if self.requests[request].demand_id.is_none() {
+            self.register_demand(request);
         }
-        let wait_ms = until_ms.saturating_sub(elapsed_ms).clamp(1, LOOK_MS);
-        let turn = self.requests[request].look_turn;
-        self.queue.push(self.now_us + wait_ms * 1_000, Event::Look(request, turn));
+        let wait_ms = until_ms.saturating_sub(elapsed_ms).clamp(1, MAX_RECHECK_MS);
+        let turn = self.requests[request].selection_turn;
+        self.queue.push(self.now_us + wait_ms * 1_000, Event::Recheck(request, turn));
     }
 
-    fn make_wish(&mut self, request: usize) {
-        let of = &mut self.requests[request];
-        let daemon = &mut self.daemons[of.daemon];
-        let due_ms = of.arrived_us / 1_000 + self.routes[of.class].objective_ms;
-        let asking = RequestContext {
-            route: &self.routes[of.class],
+    /// Adds a waiting request to the daemon's local demand, and schedules an early report.
+    fn register_demand(&mut self, request: usize) {
+        let request_state = &mut self.requests[request];
+        let daemon = &mut self.daemons[request_state.daemon];
+        let due_ms =
+            request_state.arrived_us / 1_000 + self.routes[request_state.class].objective_ms;
+        let context = RequestContext {
+            route: &self.routes[request_state.class],
             service: &self.service,
-            head: &of.head,
-            allowed_ms: of.allowed_ms,
+            head: &request_state.head,
+            allowed_ms: request_state.allowed_ms,
             elapsed_ms: 0,
             demand_id: None,
             is_trial: false,
             has_quota: true,
             send_permit: None,
         };
-        let Some(wish) = selection::pending_demand(asking, due_ms) else { return };
-        daemon.next_number += 1;
-        of.wish = Some(daemon.next_number);
-        daemon.local_view.local_demand_for(&self.service).waiting.insert(daemon.next_number, wish);
+        let Some(pending_demand) = selection::pending_demand(context, due_ms) else { return };
+        daemon.next_demand_id += 1;
+        request_state.demand_id = Some(daemon.next_demand_id);
+        daemon
+            .local_view
+            .local_demand_for(&self.service)
+            .waiting
+            .insert(daemon.next_demand_id, pending_demand);
         daemon.waiting.insert(request);
-        let number = of.daemon;
-        self.hurry_sync(number);
+        let number = request_state.daemon;
+        self.expedite_sync(number);
     }
 
-    fn drop_wish(&mut self, request: usize) {
-        let of = &mut self.requests[request];
-        let daemon = &mut self.daemons[of.daemon];
+    /// Removes a request from the daemon's local demand.
+    fn withdraw_demand(&mut self, request: usize) {
+        let request_state = &mut self.requests[request];
+        let daemon = &mut self.daemons[request_state.daemon];
         daemon.waiting.remove(&request);
-        if let Some(number) = of.wish.take() {
+        if let Some(number) = request_state.demand_id.take() {
             daemon.local_view.local_demand_for(&self.service).waiting.remove(&number);
         }
     }
 
     fn send(&mut self, request: usize, endpoint: Endpoint) {
-        self.drop_wish(request);
+        self.withdraw_demand(request);
         let now_ms = self.now_ms();
-        let of = &mut self.requests[request];
-        let local_view = &mut self.daemons[of.daemon].local_view;
-        let route = &self.routes[of.class];
-        if !of.sends.reserve_next(route, &self.service, local_view, now_ms) {
-            return self.refuse(request, LOOK_MS);
-        }
-        of.sends.record_send(&endpoint.name);
-        local_view.request_started(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
-        of.state = State::Sent;
-        of.was_sent = true;
-        of.send += 1;
-        let (send, patience_ms) = (of.send, wait_limit::first_event_ms(route));
+        let request_state = &mut self.requests[request];
+        let local_view = &mut self.daemons[request_state.daemon].local_view;
+        let route = &self.routes[request_state.class];
+        if !request_state.sends.reserve_next(route, &self.service, local_view, now_ms) {
+            return self.reject(request, MAX_RECHECK_MS);
+        }
+        request_state.sends.record_send(&endpoint.name);
+        local_view.request_started(
+            &endpoint,
+            request_state.head.model.as_ref(),
+            request_state.head.adapter.as_ref(),
+        );
+        request_state.phase = Phase::Sent;
+        request_state.was_sent = true;
+        request_state.send += 1;
+        let (send, wait_limit_ms) = (request_state.send, wait_limit::first_event_ms(route));
         let engine = self.engines.iter().position(|engine| engine.name == endpoint.name);
-        of.engine = engine;
-        of.endpoint = Some(endpoint);
+        request_state.engine = engine;
+        request_state.endpoint = Some(endpoint);
         self.outcome.sends += 1;
-        let way_us = self.way_us();
+        let delay_us = self.delay_us();
         match engine {
             Some(engine) => {
                 let start = self.engines[engine].start;
-                let event = Event::AtEngine { request, send, engine, start };
-                self.queue.push(self.now_us + way_us, event);
+                let event = Event::SendArrives { request, send, engine, start };
+                self.queue.push(self.now_us + delay_us, event);
             }
-            None => self.queue.push(self.now_us + way_us, Event::Broke { request, send }),
+            None => self.queue.push(self.now_us + delay_us, Event::SendFailed { request, send }),
         }
-        let impatient_us = self.now_us + patience_ms * 1_000;
-        self.queue.push(impatient_us, Event::Impatient { request, send });
+        let timeout_us = self.now_us + wait_limit_ms * 1_000;
+        self.queue.push(timeout_us, Event::FirstEventTimeout { request, send });
     }
 
-    fn is_at(&self, request: usize, send: u32) -> bool {
-        let of = &self.requests[request];
-        of.state == State::Sent && of.send == send
+    /// Returns whether a request is at an engine with this send.
+    fn is_current_send(&self, request: usize, send: u32) -> bool {
+        let request_state = &self.requests[request];
+        request_state.phase == Phase::Sent && request_state.send == send
     }
 
-    pub(super) fn reach_engine(&mut self, request: usize, send: u32, engine: usize, start: u64) {
-        if !self.is_at(request, send) || self.is_silent(engine) {
+    pub(super) fn send_arrived(&mut self, request: usize, send: u32, engine: usize, start: u64) {
+        if !self.is_current_send(request, send) || self.is_silent(engine) {
             return;
         }
-        let way_us = self.way_us();
-        let (is_here, share) = {
-            let at = &self.engines[engine];
-            (at.start == start && at.is_alive, at.failing_share)
+        let delay_us = self.delay_us();
+        let (is_running, share) = {
+            let engine_state = &self.engines[engine];
+            (engine_state.start == start && engine_state.is_alive, engine_state.failure_share)
         };
-        if !is_here || self.random.random::<f64>() < share {
-            return self.queue.push(self.now_us + way_us, Event::Broke { request, send });
+        if !is_running || self.random.random::<f64>() < share {
+            return self.queue.push(self.now_us + delay_us, Event::SendFailed { request, send });
         }
-        let of = &self.requests[request];
-        let class = &self.deployment.classes[of.class];
-        let Some(model) = of.head.model.clone() else { return };
+        let request_state = &self.requests[request];
+        let class = &self.deployment.classes[request_state.class];
+        let Some(model) = request_state.head.model.clone() else { return };
         let tokens = [class.shared_tokens, class.own_tokens, class.output_tokens];
-        let run = Run::new(request, model, of.head.adapter.clone(), class.priority, tokens);
+        let run =
+            Run::new(request, model, request_state.head.adapter.clone(), class.priority, tokens);
         match self.engines[engine].submit(run, &self.deployment.engines) {
             Ok(()) => self.begin_step(engine),
-            Err(has_not) => {
+            Err(is_missing) => {
                 self.outcome.refused_sends += 1;
-                let event = Event::EngineRefused { request, send, has_not };
-                self.queue.push(self.now_us + way_us, event);
+                let event = Event::SendRejected { request, send, is_missing };
+                self.queue.push(self.now_us + delay_us, event);
             }
         }
     }
@@ -280,8 +302,8 @@
     pub(super) fn begin_step(&mut self, engine: usize) {
         let spec = &self.deployment.engines;
         let start = self.engines[engine].start;
-        if let Some(takes_us) = self.engines[engine].begin_step(spec, self.now_us) {
-            self.queue.push(self.now_us + takes_us, Event::StepEnd { engine, start });
+        if let Some(duration_us) = self.engines[engine].begin_step(spec, self.now_us) {
+            self.queue.push(self.now_us + duration_us, Event::StepEnd { engine, start });
         }
     }
 
@@ -289,223 +311,238 @@
         if self.engines[engine].start != start || !self.engines[engine].is_alive {
             return;
         }
-        let made = self.engines[engine].end_step(&self.deployment.engines, self.now_us);
-        if made.iter().any(|made| matches!(made, Made::Done(..))) {
-            // An unload may have waited for the run that has ended.
-            self.look_at_order(engine, start);
+        let events = self.engines[engine].end_step(&self.deployment.engines, self.now_us);
+        if events.iter().any(|event| matches!(event, StepEvent::Done(..))) {
+            // An unload may have waited for the request that has ended.
+            self.check_order(engine, start);
         }
         let is_silent = self.is_silent(engine);
-        for made in made.into_iter().filter(|_| !is_silent) {
-            let way_us = self.way_us() + self.caller_way_us();
-            match made {
-                Made::First(request) => {
+        for event in events.into_iter().filter(|_| !is_silent) {
+            let delay_us = self.delay_us() + self.caller_delay_us();
+            match event {
+                StepEvent::First(request) => {
                     let send = self.requests[request].send;
-                    self.queue.push(self.now_us + way_us, Event::First { request, send });
+                    self.queue.push(self.now_us + delay_us, Event::FirstEvent { request, send });
                 }
-                Made::Done(request, gap_us) => {
+                StepEvent::Done(request, gap_us) => {
                     let send = self.requests[request].send;
-                    let event = Event::Done { request, send, gap_us };
-                    self.queue.push(self.now_us + way_us + 1, event);
+                    let event = Event::AnswerComplete { request, send, gap_us };
+                    self.queue.push(self.now_us + delay_us + 1, event);
                 }
             }
         }
         self.begin_step(engine);
     }
 
-    /// Takes a request back from its engine, however the send ended.
-    fn end_send(&mut self, request: usize) {
-        let of = &mut self.requests[request];
-        if let Some(endpoint) = of.endpoint.take() {
-            let local_view = &mut self.daemons[of.daemon].local_view;
-            local_view.request_ended(&endpoint, of.head.model.as_ref(), of.head.adapter.as_ref());
-        }
-        of.engine = None;
+    /// Records in the daemon's view that a request is no longer at its endpoint.
+    fn release_endpoint(&mut self, request: usize) {
+        let request_state = &mut self.requests[request];
+        if let Some(endpoint) = request_state.endpoint.take() {
+            let local_view = &mut self.daemons[request_state.daemon].local_view;
+            local_view.request_ended(
+                &endpoint,
+                request_state.head.model.as_ref(),
+                request_state.head.adapter.as_ref(),
+            );
+        }
+        request_state.engine = None;
     }
 
-    fn last_endpoint(&self, request: usize) -> Option<EndpointName> {
+    fn current_endpoint(&self, request: usize) -> Option<EndpointName> {
         self.requests[request].endpoint.as_ref().map(|endpoint| endpoint.name.clone())
     }
 
-    /// Looks for another endpoint after a send that brought nothing.
-    fn send_failed(&mut self, request: usize, end: SendEnd) {
-        self.end_send(request);
+    /// Records a send that ended without an answer, and selects another endpoint.
+    fn retry_elsewhere(&mut self, request: usize, end: SendEnd) {
+        self.release_endpoint(request);
         let now_ms = self.now_ms();
-        let of = &mut self.requests[request];
-        of.sends.record_end(end, now_ms);
-        of.state = State::Waiting;
-        self.look(request);
+        let request_state = &mut self.requests[request];
+        request_state.sends.record_end(end, now_ms);
+        request_state.phase = Phase::Waiting;
+        self.select_endpoint(request);
     }
 
-    pub(super) fn engine_refused(&mut self, request: usize, send: u32, has_not: bool) {
-        if !self.is_at(request, send) {
+    pub(super) fn send_rejected(&mut self, request: usize, send: u32, is_missing: bool) {
+        if !self.is_current_send(request, send) {
             return;
         }
         let now_ms = self.now_ms();
-        if let (true, Some(name)) = (has_not, self.last_endpoint(request)) {
-            let of = &self.requests[request];
-            if let Some(model) = &of.head.model {
-                let loadable = Loadable::new(model, of.head.adapter.as_ref());
-                self.daemons[of.daemon]
+        if let (true, Some(name)) = (is_missing, self.current_endpoint(request)) {
+            let request_state = &self.requests[request];
+            if let Some(model) = &request_state.head.model {
+                let loadable = Loadable::new(model, request_state.head.adapter.as_ref());
+                self.daemons[request_state.daemon]
                     .local_view
                     .records
                     .reported_missing(&name, loadable, now_ms);
             }
         }
-        self.send_failed(request, SendEnd::NotRun);
+        self.retry_elsewhere(request, SendEnd::NotRun);
     }
 
-    pub(super) fn broke(&mut self, request: usize, send: u32) {
-        if !self.is_at(request, send) {
+    pub(super) fn send_failed(&mut self, request: usize, send: u32) {
+        if !self.is_current_send(request, send) {
             return;
         }
         let now_ms = self.now_ms();
         let daemon = self.requests[request].daemon;
-        if let Some(name) = self.last_endpoint(request) {
+        if let Some(name) = self.current_endpoint(request) {
             self.daemons[daemon].local_view.records.failed(&name, now_ms);
         }
-        let of = &self.requests[request];
-        match of.sends.has_attempt_left(&self.routes[of.class]) {
-            true => self.send_failed(request, SendEnd::MayHaveRun),
-            false => self.end(request, End::Failed),
+        let request_state = &self.requests[request];
+        match request_state.sends.has_attempt_left(&self.routes[request_state.class]) {
+            true => self.retry_elsewhere(request, SendEnd::MayHaveRun),
+            false => self.finish_request(request, RequestEnd::Failed),
         }
     }
 
-    pub(super) fn impatient(&mut self, request: usize, send: u32) {
-        if !self.is_at(request, send) || self.requests[request].first_ms.is_some() {
+    pub(super) fn first_event_timed_out(&mut self, request: usize, send: u32) {
+        if !self.is_current_send(request, send) || self.requests[request].first_ms.is_some() {
             return;
         }
         let now_ms = self.now_ms();
-        let of = &self.requests[request];
-        let route = &self.routes[of.class];
-        let asking = RequestContext {
+        let request_state = &self.requests[request];
+        let route = &self.routes[request_state.class];
+        let context = RequestContext {
             route,
             service: &self.service,
-            head: &of.head,
-            allowed_ms: of.allowed_ms,
-            elapsed_ms: (self.now_us - of.arrived_us) / 1_000,
+            head: &request_state.head,
+            allowed_ms: request_state.allowed_ms,
+            elapsed_ms: (self.now_us - request_state.arrived_us) / 1_000,
             demand_id: None,
             is_trial: false,
             has_quota: true,
             send_permit: None,
         };
-        let local_view = &mut self.daemons[of.daemon].local_view;
-        let moves = of.sends.has_attempt_left(route)
-            && selection::has_alternative(local_view, asking, &of.sends, now_ms);
-        if !moves {
-            let again_us = self.now_us + wait_limit::first_event_ms(route) * 1_000;
-            return self.queue.push(again_us, Event::Impatient { request, send });
-        }
-        if let Some(name) = self.last_endpoint(request) {
+        let local_view = &mut self.daemons[request_state.daemon].local_view;
+        let can_move = request_state.sends.has_attempt_left(route)
+            && selection::has_alternative(local_view, context, &request_state.sends, now_ms);
+        if !can_move {
+            let next_timeout_us = self.now_us + wait_limit::first_event_ms(route) * 1_000;
+            return self.queue.push(next_timeout_us, Event::FirstEventTimeout { request, send });
+        }
+        if let Some(name) = self.current_endpoint(request) {
             self.daemons[self.requests[request].daemon].local_view.records.failed(&name, now_ms);
         }
         self.cancel(request);
-        self.send_failed(request, SendEnd::TimedOut);
+        self.retry_elsewhere(request, SendEnd::TimedOut);
     }
 
     fn cancel(&mut self, request: usize) {
         if let Some(engine) = self.requests[request].engine {
             self.engines[engine].cancel(request);
-            self.look_at_order(engine, self.engines[engine].start);
+            self.check_order(engine, self.engines[engine].start);
         }
     }
 
-    pub(super) fn first_event(&mut self, request: usize, send: u32) {
-        if !self.is_at(request, send) {
+    pub(super) fn first_event_arrived(&mut self, request: usize, send: u32) {
+        if !self.is_current_send(request, send) {
             return;
         }
-        let of = &mut self.requests[request];
-        of.first_ms.get_or_insert((self.now_us - of.first_try_us) / 1_000);
+        let request_state = &mut self.requests[request];
+        request_state
+            .first_ms
+            .get_or_insert((self.now_us - request_state.first_attempt_us) / 1_000);
     }
 
-    pub(super) fn done(&mut self, request: usize, send: u32, gap_us: u64) {
-        if !self.is_at(request, send) {
+    pub(super) fn answer_completed(&mut self, request: usize, send: u32, gap_us: u64) {
+        if !self.is_current_send(request, send) {
             return;
         }
         let now_ms = self.now_ms();
-        if let Some(name) = self.last_endpoint(request) {
+        if let Some(name) = self.current_endpoint(request) {
             let daemon = self.requests[request].daemon;
             self.daemons[daemon].local_view.records.succeeded(&name, now_ms);
         }
-        let of = &self.requests[request];
-        let class = &self.deployment.classes[of.class];
-        let is_on_time = of.first_ms.is_some_and(|first_ms| first_ms <= class.objective_ms)
-            && gap_us <= class.pause_ms * 1_000;
-        self.end(request, if is_on_time { End::OnTime } else { End::Late });
+        let request_state = &self.requests[request];
+        let class = &self.deployment.classes[request_state.class];
+        let is_on_time =
+            request_state.first_ms.is_some_and(|first_ms| first_ms <= class.objective_ms)
+                && gap_us <= class.pause_ms * 1_000;
+        self.finish_request(
+            request,
+            if is_on_time { RequestEnd::OnTime } else { RequestEnd::Late },
+        );
     }
 
-    fn refuse(&mut self, request: usize, retry_after_ms: u64) {
-        self.drop_wish(request);
+    fn reject(&mut self, request: usize, retry_after_ms: u64) {
+        self.withdraw_demand(request);
         let now_ms = self.now_ms();
-        let of = &mut self.requests[request];
-        let asking = RequestContext {
-            route: &self.routes[of.class],
+        let request_state = &mut self.requests[request];
+        let context = RequestContext {
+            route: &self.routes[request_state.class],
             service: &self.service,
-            head: &of.head,
-            allowed_ms: of.allowed_ms,
-            elapsed_ms: (self.now_us - of.arrived_us) / 1_000,
+            head: &request_state.head,
+            allowed_ms: request_state.allowed_ms,
+            elapsed_ms: (self.now_us - request_state.arrived_us) / 1_000,
             demand_id: None,
             is_trial: false,
             has_quota: true,
             send_permit: None,
         };
-        let daemon = &mut self.daemons[of.daemon];
-        let wish = selection::returning_demand(self.policy, asking, retry_after_ms, now_ms);
-        if let Some(wish) = wish {
-            daemon.next_number += 1;
+        let daemon = &mut self.daemons[request_state.daemon];
+        let pending_demand =
+            selection::returning_demand(self.policy, context, retry_after_ms, now_ms);
+        if let Some(pending_demand) = pending_demand {
+            daemon.next_demand_id += 1;
             daemon
                 .local_view
                 .local_demand_for(&self.service)
                 .returning
-                .insert(daemon.next_number, wish);
-        }
-        let number = of.daemon;
-        let class = &self.deployment.classes[of.class];
-        let past_ms = (self.now_us - of.first_try_us) / 1_000;
-        let left_ms = class.deadline_ms.saturating_sub(past_ms);
-        of.state = State::Away;
-        if of.attempt > class.retries || left_ms == 0 {
-            if of.attempt > 1 {
+                .insert(daemon.next_demand_id, pending_demand);
+        }
+        let number = request_state.daemon;
+        let class = &self.deployment.classes[request_state.class];
+        let since_first_ms = (self.now_us - request_state.first_attempt_us) / 1_000;
+        let remaining_ms = class.deadline_ms.saturating_sub(since_first_ms);
+        request_state.phase = Phase::AtCaller;
+        if request_state.attempt > class.retries || remaining_ms == 0 {
+            if request_state.attempt > 1 {
                 let name = class.name.clone();
-                self.outcome.refused_again(&name);
+                self.outcome.record_repeated_refusal(&name);
             }
-            return self.end(request, End::Refused);
-        }
-        let pause_ms = retry_after_ms.min(left_ms / COME_BACK_PART);
-        let ways_us = 2 * self.caller_way_us();
-        self.queue.push(self.now_us + pause_ms * 1_000 + ways_us, Event::Try(request));
-        self.hurry_sync(number);
+            return self.finish_request(request, RequestEnd::Refused);
+        }
+        let retry_delay_ms = retry_after_ms.min(remaining_ms / RETRY_DELAY_DIVISOR);
+        let round_trip_us = 2 * self.caller_delay_us();
+        self.queue.push(
+            self.now_us + retry_delay_ms * 1_000 + round_trip_us,
+            Event::CallerAttempt(request),
+        );
+        self.expedite_sync(number);
     }
 
-    /// A caller gives up on a stream without events; one that was refused comes back all the same.
-    pub(super) fn leave(&mut self, request: usize) {
-        let of = &self.requests[request];
-        let has_events = of.state == State::Sent && of.first_ms.is_some();
-        if has_events || matches!(of.state, State::Ended | State::Away) {
+    /// Ends a request whose caller leaves. A stream that has begun continues, and a caller that
+    /// was rejected still retries.
+    pub(super) fn caller_left(&mut self, request: usize) {
+        let request_state = &self.requests[request];
+        let is_streaming = request_state.phase == Phase::Sent && request_state.first_ms.is_some();
+        if is_streaming || matches!(request_state.phase, Phase::Finished | Phase::AtCaller) {
             return;
         }
         self.cancel(request);
-        self.end(request, End::Left);
+        self.finish_request(request, RequestEnd::Left);
     }
 
-    fn end(&mut self, request: usize, end: End) {
-        self.drop_wish(request);
-        self.end_send(request);
-        let of = &mut self.requests[request];
-        of.state = State::Ended;
-        let class = &self.deployment.classes[of.class];
-        let is_served = matches!(end, End::OnTime | End::Late);
-        let held_ms = (self.now_us - of.arrived_us) as f64 / 1e3;
-        let is_in_vain = end == End::Left && !of.was_sent;
-        let held_part = held_ms / class.deadline_ms as f64 * f64::from(u8::from(is_in_vain));
-        let cold_ms = of.first_ms.filter(|_| is_served).unwrap_or(class.deadline_ms);
-        if of.was_cold {
-            // Histograms grow as needed; only values past any day's length fail.
+    fn finish_request(&mut self, request: usize, end: RequestEnd) {
+        self.withdraw_demand(request);
+        self.release_endpoint(request);
+        let request_state = &mut self.requests[request];
+        request_state.phase = Phase::Finished;
+        let class = &self.deployment.classes[request_state.class];
+        let is_served = matches!(end, RequestEnd::OnTime | RequestEnd::Late);
+        let held_ms = (self.now_us - request_state.arrived_us) as f64 / 1e3;
+        let left_unsent = end == RequestEnd::Left && !request_state.was_sent;
+        let wasted_share = held_ms / class.deadline_ms as f64 * f64::from(u8::from(left_unsent));
+        let cold_ms = request_state.first_ms.filter(|_| is_served).unwrap_or(class.deadline_ms);
+        if request_state.was_cold {
+            // Recording fails only for values beyond the length of any run.
             let _ = self.outcome.cold_ms.record(cold_ms);
         }
         if is_served {
-            self.served.entry(of.model).or_insert((0, false)).1 = true;
+            self.model_requests.entry(request_state.model).or_insert((0, false)).1 = true;
         }
-        let first_ms = of.first_ms.filter(|_| is_served);
-        self.outcome.ended(&class.name, end, first_ms, held_part);
+        let first_ms = request_state.first_ms.filter(|_| is_served);
+        self.outcome.record_end(&class.name, end, first_ms, wasted_share);
     }
 }
