--- a/crates/trestle-client/src/peers.rs
+++ b/crates/trestle-client/src/peers.rs
@@ -13,7 +13,7 @@
 use tarpc::{client, context, serde_transport, tokio_serde::formats::Bincode};
 use tokio_util::codec::LengthDelimitedCodec;
 use trestle_core::membership_row::MembershipRow;
-use trestle_wire::peer::{PeerClient, WireAnswer, WireAsk, WireConfig};
+use trestle_wire::peer::{PeerClient, WireConfig, WirePermitAnswer, WirePermitRequest};
 
 /// Time for opening a connection to a peer.
 const CONNECT_TIMEOUT_MS: u64 = 300;
@@ -48,7 +48,11 @@
     /// # Errors
     ///
     /// Fails if the peer cannot be reached or does not answer by the deadline.
-    pub async fn ask(&self, address: &str, ask: WireAsk) -> Result<WireAnswer> {
+    pub async fn request_permit(
+        &self,
+        address: &str,
+        ask: WirePermitRequest,
+    ) -> Result<WirePermitAnswer> {
         let context = context_for(ask.due_in_ms + ASK_GRACE_MS);
         let client = self.client(address).await?;
         self.settle(address, client.ask(context, ask).await)
--- a/crates/trestle-config/src/read.rs
+++ b/crates/trestle-config/src/read.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum SettingsFile {
     /// For a daemon before engines that answer to this project's own interface.
-    Own(Settings),
+    Platform(Settings),
     /// For a daemon whose state lies in an outside store.
     Entry(EntrySettings),
 }
@@ -69,7 +69,7 @@
     }
     let settings: Settings = read_jsonc(&text, &file)?;
     refuse(&text, &file, settings.findings())?;
-    Ok(SettingsFile::Own(settings))
+    Ok(SettingsFile::Platform(settings))
 }
 
 /// Fails with everything that was found wrong, each with its place.
--- a/crates/trestle-config/tests/files.rs
+++ b/crates/trestle-config/tests/files.rs
@@ -84,7 +84,7 @@
         let path = Path::new("../../examples").join(name);
         read_settings(&path).unwrap_or_else(|error| panic!("{error}"))
     };
-    assert!(matches!(read("trestled.jsonc"), SettingsFile::Own(_)));
+    assert!(matches!(read("trestled.jsonc"), SettingsFile::Platform(_)));
     assert!(matches!(read("entry.jsonc"), SettingsFile::Entry(_)));
 }
 
@@ -104,7 +104,7 @@
         fs::remove_file(&path).expect("it can be removed");
         match settings {
             Ok(SettingsFile::Entry(settings)) => Ok(settings.bounds),
-            Ok(SettingsFile::Own(_)) => panic!("it is of the other kind"),
+            Ok(SettingsFile::Platform(_)) => panic!("it is of the other kind"),
             Err(error) => Err(error.to_string()),
         }
     };
--- a/crates/trestle-entry/src/allocation.rs
+++ b/crates/trestle-entry/src/allocation.rs
@@ -14,7 +14,7 @@
     team::TeamLimit,
 };
 use trestle_wire::{
-    lending::{WireBorrowing, WireLoan},
+    allocation::{WireAllocation, WireAllocationRequest},
     replicas::ReplicasClient,
 };
 
@@ -52,48 +52,54 @@
         Err(None) => {}
     }
     match request_allocation(daemon, team, units).await {
-        WireLoan::Lent { .. } => {
+        WireAllocation::Lent { .. } => {
             let bounds = daemon.shared_view.with(|local_view| local_view.quota_bounds);
             Ok(now_ms + bounds.valid_ms(limit))
         }
-        WireLoan::Refused { in_ms } => {
+        WireAllocation::Refused { in_ms } => {
             let now_ms = daemon.shared_view.now_ms();
             daemon.with_allowances(|allowances| allowances.refused(team, in_ms, now_ms));
             Err(AllocationError::LimitReached { in_ms })
         }
-        WireLoan::NotLending => Err(AllocationError::NoAllocator),
+        WireAllocation::NotLending => Err(AllocationError::NoAllocator),
     }
 }
 
 /// Asks this daemon's leader for an allocation, or another leader if that one does not allocate.
-async fn request_allocation(daemon: &Daemon, team: &TeamName, units: u64) -> WireLoan {
-    let request = WireBorrowing { team: team.to_string(), units, is_leader: false };
+async fn request_allocation(daemon: &Daemon, team: &TeamName, units: u64) -> WireAllocation {
+    let request = WireAllocationRequest { team: team.to_string(), units, is_leader: false };
     let call = async |leader: Leader| {
         let allocation = match leader {
             Leader::At { address, .. } => request_at(daemon, address, request.clone()).await,
             // This daemon may have led until a moment ago.
             Leader::Here { .. } | Leader::Nobody => allocate(daemon, request.clone()).await,
         };
-        Some(allocation).filter(|allocation| *allocation != WireLoan::NotLending)
+        Some(allocation).filter(|allocation| *allocation != WireAllocation::NotLending)
     };
-    calls::first_answer(daemon, call).await.unwrap_or(WireLoan::NotLending)
+    calls::first_answer(daemon, call).await.unwrap_or(WireAllocation::NotLending)
 }
 
-async fn request_at(daemon: &Daemon, address: SocketAddr, request: WireBorrowing) -> WireLoan {
+async fn request_at(
+    daemon: &Daemon,
+    address: SocketAddr,
+    request: WireAllocationRequest,
+) -> WireAllocation {
     let call = async |client: ReplicasClient, context| client.lend(context, request).await;
-    daemon.calls.call(address, call).await.unwrap_or(WireLoan::NotLending)
+    daemon.calls.call(address, call).await.unwrap_or(WireAllocation::NotLending)
 }
 
 /// Allocates units from what this daemon holds as a leader, or from what other leaders hold.
-pub(crate) async fn allocate(daemon: &Daemon, request: WireBorrowing) -> WireLoan {
+pub(crate) async fn allocate(daemon: &Daemon, request: WireAllocationRequest) -> WireAllocation {
     let team = TeamName::from(request.team);
-    let Some(limited_team) = LimitedTeam::of(daemon, &team) else { return WireLoan::NotLending };
+    let Some(limited_team) = LimitedTeam::of(daemon, &team) else {
+        return WireAllocation::NotLending;
+    };
     let units = request.units;
     if request.is_leader {
         let give = |quota_allocator: &mut QuotaAllocator, plan: &_, now_ms| {
             quota_allocator.transfer_out(&team, units, plan, now_ms)
         };
-        return WireLoan::Lent { units: with_quota_allocator(daemon, &limited_team, give) };
+        return WireAllocation::Lent { units: with_quota_allocator(daemon, &limited_team, give) };
     }
     let (allocation, wanted) =
         with_quota_allocator(daemon, &limited_team, |quota_allocator, plan, now_ms| {
@@ -129,8 +135,8 @@
         if units == 0 {
             break;
         }
-        let request = WireBorrowing { team: team.to_string(), units, is_leader: true };
-        if let WireLoan::Lent { units } = request_at(daemon, address, request).await {
+        let request = WireAllocationRequest { team: team.to_string(), units, is_leader: true };
+        if let WireAllocation::Lent { units } = request_at(daemon, address, request).await {
             given += units;
         }
     }
--- a/crates/trestle-entry/src/control/group_lease.rs
+++ b/crates/trestle-entry/src/control/group_lease.rs
@@ -13,7 +13,7 @@
     lease::{Identity, Lease, LeaseRow, LeaseTiming, LeaseWrite, Resignation},
     store::{ConditionalWrite, Row, RowKey, WriteOutcome},
 };
-use trestle_wire::replicas::{WireLease, WireResigned};
+use trestle_wire::replicas::{WireLeaseRow, WireResignation};
 
 /// The table of the lease rows.
 pub(crate) const TABLE: &str = "trestle";
@@ -132,12 +132,12 @@
     }
 
     /// Returns the report to other daemons after this daemon has stepped down.
-    pub(crate) fn resignation(&self, now_ms: u64) -> Option<WireResigned> {
+    pub(crate) fn resignation(&self, now_ms: u64) -> Option<WireResignation> {
         let quiet_ms = self.lease.quiet_ms();
         let engines = self.daemon.with_order_log(|log| log.quiet_for_ms(quiet_ms, now_ms));
         let settled_for_ms = engines.values().copied().max().unwrap_or_default();
         let resignation = self.lease.resignation(settled_for_ms, now_ms)?;
-        Some(WireResigned::new(resignation, engines))
+        Some(WireResignation::new(resignation, engines))
     }
 
     /// Records the report of a leader that has stepped down.
@@ -167,8 +167,8 @@
     }
 
     /// Returns the row as it is sent to other daemons, with its version.
-    pub(crate) fn row(&self) -> Option<(WireLease, u64)> {
-        self.lease.seen().map(|(row, version)| (WireLease::from(row), version))
+    pub(crate) fn row(&self) -> Option<(WireLeaseRow, u64)> {
+        self.lease.seen().map(|(row, version)| (WireLeaseRow::from(row), version))
     }
 
     /// Returns where the leader of the group is.
@@ -203,7 +203,7 @@
 }
 
 async fn send(daemon: Arc<Daemon>, group: DomainName, write: LeaseWrite, sent_ms: u64) {
-    let value = serde_json::to_vec(&WireLease::from(&write.row)).ok();
+    let value = serde_json::to_vec(&WireLeaseRow::from(&write.row)).ok();
     let key = RowKey {
         table: TABLE.to_owned(),
         partition: partition(&group).to_owned(),
@@ -230,7 +230,7 @@
 }
 
 fn decode(value: &[u8]) -> Option<LeaseRow> {
-    match serde_json::from_slice::<WireLease>(value) {
+    match serde_json::from_slice::<WireLeaseRow>(value) {
         Ok(wire) => Some(wire.into()),
         Err(error) => {
             tracing::error!(%error, "lease: The row is not understood; the lease counts as held.");
--- a/crates/trestle-entry/src/control/held_answers.rs
+++ b/crates/trestle-entry/src/control/held_answers.rs
@@ -15,7 +15,7 @@
     loadable::Loadable,
     placement_log::PlacementPosition,
 };
-use trestle_wire::{relay::WireHave, replicas::WireSynced};
+use trestle_wire::{relay::WireSyncPosition, replicas::WireSyncResponse};
 
 /// Longest time to hold an answer about new demand: another leader plans within some 30 ms.
 const MAX_HOLD_NEW_MS: u64 = 100;
@@ -33,8 +33,8 @@
     /// Whether the requester sent the request as a leader.
     pub(crate) is_leader: bool,
     /// The channel for the answer.
-    pub(crate) reply: Sender<WireSynced>,
-    positions: WireHave,
+    pub(crate) reply: Sender<WireSyncResponse>,
+    positions: WireSyncPosition,
     reported: BTreeMap<ServiceName, ReportedDemand>,
     requested_ms: u64,
     /// Whether the requester waits for something about which it has not been answered before.
@@ -71,8 +71,8 @@
         requester: VmName,
         group: String,
         is_leader: bool,
-        positions: WireHave,
-        reply: Sender<WireSynced>,
+        positions: WireSyncPosition,
+        reply: Sender<WireSyncResponse>,
         now_ms: u64,
     ) -> Self {
         Self {
--- a/crates/trestle-entry/src/control/leaders.rs
+++ b/crates/trestle-entry/src/control/leaders.rs
@@ -5,8 +5,8 @@
 use trestle_core::names::{DomainName, EndpointName};
 use trestle_dispatch::lease::Resignation;
 use trestle_wire::{
-    relay::WireHave,
-    replicas::{WireAsking, WireSynced},
+    relay::WireSyncPosition,
+    replicas::{WireSyncRequest, WireSyncResponse},
 };
 
 impl Control {
@@ -26,7 +26,7 @@
         &mut self,
         address: SocketAddr,
         group: &DomainName,
-    ) -> (WireAsking, bool) {
+    ) -> (WireSyncRequest, bool) {
         let now_ms = self.now_ms();
         let mut digests = Vec::new();
         let mut placements = BTreeMap::new();
@@ -42,14 +42,14 @@
             placements = positions.collect();
             has_new_demand = !other.has_planned();
         }
-        let have = WireHave {
+        let have = WireSyncPosition {
             endpoints: u64::MAX,
             config: u64::MAX,
             refused: 0,
             departures: true,
             placements,
         };
-        let request = WireAsking {
+        let request = WireSyncRequest {
             vm: self.daemon.settings.vm.clone(),
             group: group.to_string(),
             is_leader: true,
@@ -62,7 +62,11 @@
     }
 
     /// Handles the answer of the leader at an address, or its absence.
-    pub(super) fn record_other_answer(&mut self, address: SocketAddr, answer: Option<WireSynced>) {
+    pub(super) fn record_other_answer(
+        &mut self,
+        address: SocketAddr,
+        answer: Option<WireSyncResponse>,
+    ) {
         let now_ms = self.now_ms();
         let Some(answer) = answer else {
             self.leases.leader_unresponsive(now_ms);
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -22,7 +22,7 @@
     local_view::LocalView,
     store::WriteOutcome,
 };
-use trestle_wire::replicas::{WireGroupLease, WireResigned};
+use trestle_wire::replicas::{WireGroupLease, WireResignation};
 
 /// Shortest time between two reads of the rows while a leader does not answer.
 const READ_GAP_MS: u64 = 800;
@@ -327,7 +327,7 @@
     }
 
     /// Returns the reports to other daemons on groups for which this daemon has stepped down.
-    pub(crate) fn resignations(&self, now_ms: u64) -> Vec<(String, WireResigned)> {
+    pub(crate) fn resignations(&self, now_ms: u64) -> Vec<(String, WireResignation)> {
         let each = self
             .by_group
             .iter()
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -9,7 +9,7 @@
     orders::OrderChain,
     store::WriteOutcome,
 };
-use trestle_wire::replicas::{WireAsking, WireGroupLease, WireSynced};
+use trestle_wire::replicas::{WireGroupLease, WireSyncRequest, WireSyncResponse};
 
 /// A message to the control thread.
 #[derive(Debug)]
@@ -19,9 +19,9 @@
     /// A sync request from another daemon, or from this one.
     Sync {
         /// The reported demand, and what the sender already has.
-        request: WireAsking,
+        request: WireSyncRequest,
         /// The channel for the answer.
-        reply: Sender<WireSynced>,
+        reply: Sender<WireSyncResponse>,
     },
     /// Lease rows as sent by their holder.
     LeasesReceived(Vec<WireGroupLease>),
@@ -84,14 +84,14 @@
         group: DomainName,
         /// The channel for the request, and whether it holds demand with which the other leader
         /// has not planned yet.
-        reply: Sender<(WireAsking, bool)>,
+        reply: Sender<(WireSyncRequest, bool)>,
     },
     /// Another leader has answered a sync request, or failed to.
     OtherLeaderAnswered {
         /// The address of the other leader.
         address: SocketAddr,
         /// The answer; `None` if there was none.
-        answer: Option<WireSynced>,
+        answer: Option<WireSyncResponse>,
     },
     /// A change at an engine has finished.
     ChangeFinished {
--- a/crates/trestle-entry/src/control/other_leaders.rs
+++ b/crates/trestle-entry/src/control/other_leaders.rs
@@ -14,7 +14,7 @@
     replicas::{EngineSummary, ReplicaView},
     service_state::ServiceState,
 };
-use trestle_wire::replicas::{WireDigest, WireSynced};
+use trestle_wire::replicas::{WireDemandReport, WireSyncResponse};
 
 /// Time after its last answer for which a leader still counts as reachable.
 const REACHABLE_MS: u64 = 1_500;
@@ -87,7 +87,12 @@
     }
 
     /// Records the answer of the leader at an address.
-    pub(crate) fn record_answer(&mut self, address: SocketAddr, answer: WireSynced, now_ms: u64) {
+    pub(crate) fn record_answer(
+        &mut self,
+        address: SocketAddr,
+        answer: WireSyncResponse,
+        now_ms: u64,
+    ) {
         if let Some(other) = self.by_address.get_mut(&address) {
             self.revision += 1;
             other.record_answer(answer, now_ms);
@@ -176,7 +181,7 @@
         state: &ServiceState,
         directory: &BTreeMap<EndpointName, Arc<Endpoint>>,
         now_ms: u64,
-    ) -> WireDigest {
+    ) -> WireDemandReport {
         let led = &self.led;
         let is_its_engine = |name: &EndpointName| {
             directory.get(name).is_some_and(|endpoint| led.contains(&endpoint.domain))
@@ -192,7 +197,7 @@
         report.arrivals = std::mem::take(&mut exchange.arrivals);
         report.past = (!exchange.is_history_sent).then(|| state.demand.own_history(now_ms));
         let (log, placements) = (exchange.placements.position().log, &exchange.placements);
-        WireDigest::new(service, report, log, |name| placements.number(name))
+        WireDemandReport::new(service, report, log, |name| placements.number(name))
     }
 
     /// Returns whether the other leader has planned with all demand of the last report.
@@ -202,7 +207,7 @@
     }
 
     /// Records an answer of the other leader.
-    fn record_answer(&mut self, answer: WireSynced, now_ms: u64) {
+    fn record_answer(&mut self, answer: WireSyncResponse, now_ms: u64) {
         if !answer.is_leader {
             return;
         }
--- a/crates/trestle-entry/src/control/service_view.rs
+++ b/crates/trestle-entry/src/control/service_view.rs
@@ -11,7 +11,7 @@
     replicas::{EngineSummary, ReplicaView},
     service_state::ServiceState,
 };
-use trestle_wire::replicas::{WireView, to_ready};
+use trestle_wire::replicas::{WireServiceView, to_ready};
 
 /// Age up to which a view that was built for one daemon is also sent to the next. This adds less to
 /// the age at the receiver than the network delay and the pause between two sync requests.
@@ -103,13 +103,13 @@
 
     /// Returns the view for a requester. Another leader receives nothing about engines of third
     /// leaders, since these send it themselves.
-    pub(crate) fn view(&self, requester: Requester<'_>, source: ViewSource<'_>) -> WireView {
+    pub(crate) fn view(&self, requester: Requester<'_>, source: ViewSource<'_>) -> WireServiceView {
         let (log, view) = match requester.is_leader {
             true => (&self.own_log, &self.own_view),
             false => (&self.log, &self.view),
         };
         let running = log.engines().map(|name| view.engines.get(name).map_or(0, |n| n.running));
-        WireView {
+        WireServiceView {
             placements: log.delta(requester.position).into(),
             running: running.collect(),
             ready_in_ms: ready_in_ms(requester, source).iter().map(to_ready).collect(),
--- a/crates/trestle-entry/src/control/sync_requests.rs
+++ b/crates/trestle-entry/src/control/sync_requests.rs
@@ -8,19 +8,23 @@
 use async_channel::Sender;
 use std::collections::BTreeMap;
 use trestle_core::names::VmName;
-use trestle_wire::replicas::{WireAsking, WireSynced};
+use trestle_wire::replicas::{WireSyncRequest, WireSyncResponse};
 
 impl Control {
     /// Handles a sync request. It is answered when every leader that serves the reported demand
     /// has planned with it, or after a short time limit.
-    pub(super) fn handle_sync(&mut self, request: WireAsking, reply: Sender<WireSynced>) {
+    pub(super) fn handle_sync(
+        &mut self,
+        request: WireSyncRequest,
+        reply: Sender<WireSyncResponse>,
+    ) {
         let now_ms = self.now_ms();
         if !self.leases.is_leading(now_ms) {
             // The requester may have given up.
             let _ = reply.try_send(self.not_leading_answer(&request.group, now_ms));
             return;
         }
-        let WireAsking { vm, group, is_leader, digests, have, .. } = request;
+        let WireSyncRequest { vm, group, is_leader, digests, have, .. } = request;
         let member = VmName::from(vm.as_str());
         if !is_leader {
             self.members.report_received(member.clone(), now_ms);
@@ -35,7 +39,7 @@
                 (log_id == log.id()).then(|| log.name(number).cloned()).flatten()
             };
             let log_id = report.log;
-            let (service, report) = report.into_digest(|number| name(log_id, number));
+            let (service, report) = report.into_report(|number| name(log_id, number));
             self.is_plan_due |= !report.waiting.is_empty();
             held.add_demand(&service, &report);
             let state = self.services.entry(service.clone()).or_default();
@@ -55,11 +59,11 @@
         self.answer_due(now_ms);
     }
 
-    fn not_leading_answer(&self, group: &str, now_ms: u64) -> WireSynced {
-        WireSynced {
+    fn not_leading_answer(&self, group: &str, now_ms: u64) -> WireSyncResponse {
+        WireSyncResponse {
             leases: self.leases.rows_for(group, now_ms),
             resigned: self.leases.resignations(now_ms),
-            ..WireSynced::default()
+            ..WireSyncResponse::default()
         }
     }
 
@@ -108,7 +112,7 @@
         }
     }
 
-    fn answer(&mut self, held: &HeldAnswer, now_ms: u64) -> WireSynced {
+    fn answer(&mut self, held: &HeldAnswer, now_ms: u64) -> WireSyncResponse {
         if !self.leases.is_leading(now_ms) {
             return self.not_leading_answer(&held.group, now_ms);
         }
@@ -138,7 +142,7 @@
             view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
         }
-        WireSynced {
+        WireSyncResponse {
             leases: self.leases.rows_for(&held.group, now_ms),
             is_leader: true,
             led: led.iter().map(ToString::to_string).collect(),
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -12,8 +12,8 @@
     fingerprint::Fingerprint,
 };
 use trestle_wire::{
-    crashes::{WireCrash, WireRefused},
-    replicas::WireAsking,
+    crashes::{WireCrashReport, WireRestrictedRequests},
+    replicas::WireSyncRequest,
 };
 
 /// Most rejected requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
@@ -32,18 +32,22 @@
 
 impl CrashReportExchange {
     /// Adds the changes that the leader has not acknowledged to a request.
-    pub(crate) fn add_to(&mut self, daemon: &Daemon, request: &mut WireAsking) {
+    pub(crate) fn add_to(&mut self, daemon: &Daemon, request: &mut WireSyncRequest) {
         let now_ms = daemon.shared_view.now_ms();
         let (changes, number) = daemon
             .shared_view
             .with(|local_view| local_view.crashes.changes_since(self.acknowledged, now_ms));
-        request.crashes = changes.into_iter().map(WireCrash::from).collect();
+        request.crashes = changes.into_iter().map(WireCrashReport::from).collect();
         request.have.refused = self.received;
         self.in_flight = number;
     }
 
     /// Records the leader's answer, with the requests that it reports as restricted.
-    pub(crate) fn record_answer(&mut self, daemon: &Daemon, refused: Option<WireRefused>) {
+    pub(crate) fn record_answer(
+        &mut self,
+        daemon: &Daemon,
+        refused: Option<WireRestrictedRequests>,
+    ) {
         self.acknowledged = self.in_flight;
         if let Some(refused) = refused {
             self.received = refused.number;
@@ -100,21 +104,24 @@
 }
 
 /// Records the reports of another daemon in their wire format.
-pub(crate) fn receive_wire(daemon: &Daemon, crashes: Vec<WireCrash>) {
+pub(crate) fn receive_wire(daemon: &Daemon, crashes: Vec<WireCrashReport>) {
     let reports: Vec<CrashReport> = crashes.into_iter().map(CrashReport::from).collect();
     receive(daemon, &reports);
 }
 
 /// Returns the restricted requests for a requester that has received the changes up to `number`;
 /// `None` if there are no further ones.
-pub(crate) fn restricted_after(daemon: &Daemon, number: u64) -> Option<WireRefused> {
+pub(crate) fn restricted_after(daemon: &Daemon, number: u64) -> Option<WireRestrictedRequests> {
     let now_ms = daemon.shared_view.now_ms();
     let (restricted, number) = daemon.shared_view.with(|local_view| {
         // Nearly all requesters are up to date, and each asks several times a second.
         let has_changes = local_view.crashes.last_restricted_change() > number;
         has_changes.then(|| local_view.crashes.restricted_reports(now_ms))
     })?;
-    Some(WireRefused { crashes: restricted.into_iter().map(WireCrash::from).collect(), number })
+    Some(WireRestrictedRequests {
+        crashes: restricted.into_iter().map(WireCrashReport::from).collect(),
+        number,
+    })
 }
 
 /// Returns the rejected requests, limited to what a lease row holds.
--- a/crates/trestle-entry/src/peer/client.rs
+++ b/crates/trestle-entry/src/peer/client.rs
@@ -15,7 +15,7 @@
     tokio_serde::formats::Bincode,
 };
 use tokio_util::codec::LengthDelimitedCodec;
-use trestle_wire::replicas::{ReplicasClient, WireAsking, WireSynced};
+use trestle_wire::replicas::{ReplicasClient, WireSyncRequest, WireSyncResponse};
 
 /// Time limit for opening a connection.
 const CONNECT_MS: u64 = 300;
@@ -46,8 +46,8 @@
     pub(crate) async fn sync(
         &mut self,
         address: SocketAddr,
-        request: WireAsking,
-    ) -> Result<WireSynced, Error> {
+        request: WireSyncRequest,
+    ) -> Result<WireSyncResponse, Error> {
         let client = match &self.open {
             Some((open_to, client)) if *open_to == address => client.clone(),
             _ => connect(address).await.context(ConnectSnafu { address })?,
--- a/crates/trestle-entry/src/peer/server.rs
+++ b/crates/trestle-entry/src/peer/server.rs
@@ -15,10 +15,10 @@
 };
 use tokio_util::codec::LengthDelimitedCodec;
 use trestle_wire::{
-    lending::{WireBorrowing, WireLoan},
-    places::{WirePlace, WirePlaceAsking},
-    relay::{WireConfig, WireHave, WireNews, WireRelay},
-    replicas::{Replicas, WireAsking, WireSynced},
+    allocation::{WireAllocation, WireAllocationRequest},
+    relay::{WireConfigUpdate, WireListUpdate, WireRelay, WireSyncPosition},
+    replicas::{Replicas, WireSyncRequest, WireSyncResponse},
+    send_permits::{WireSendPermit, WireSendPermitRequest},
     trials::{WireTrial, WireTrialAnswer},
 };
 
@@ -52,7 +52,7 @@
 struct Server(Arc<Daemon>);
 
 impl Replicas for Server {
-    async fn sync(self, _: Context, mut request: WireAsking) -> WireSynced {
+    async fn sync(self, _: Context, mut request: WireSyncRequest) -> WireSyncResponse {
         let (positions, is_leader) = (request.have.clone(), request.is_leader);
         crashes::receive_wire(&self.0, std::mem::take(&mut request.crashes));
         let synced = self.0.query(|reply| Message::Sync { request, reply }).await;
@@ -67,11 +67,11 @@
         synced
     }
 
-    async fn lend(self, _: Context, request: WireBorrowing) -> WireLoan {
+    async fn lend(self, _: Context, request: WireAllocationRequest) -> WireAllocation {
         allocation::allocate(&self.0, request).await
     }
 
-    async fn lend_place(self, _: Context, request: WirePlaceAsking) -> WirePlace {
+    async fn lend_place(self, _: Context, request: WireSendPermitRequest) -> WireSendPermit {
         send_permits::grant(&self.0, request).await
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// Returns the changes in the store since the position that a daemon has reported.
-fn relay(daemon: &Daemon, positions: WireHave) -> WireRelay {
+fn relay(daemon: &Daemon, positions: WireSyncPosition) -> WireRelay {
     let now_ms = daemon.shared_view.now_ms();
     let age_ms = daemon.freshness.age_ms(now_ms);
     let departures = match positions.departures {
@@ -90,8 +90,8 @@
     };
     daemon.shared_view.with(|local_view| WireRelay {
         departures,
-        endpoints: WireNews::from(local_view.list_since(positions.endpoints)),
-        config: local_view.config_texts.update_since(positions.config).map(WireConfig::from),
+        endpoints: WireListUpdate::from(local_view.list_since(positions.endpoints)),
+        config: local_view.config_texts.update_since(positions.config).map(WireConfigUpdate::from),
         age_ms,
         config_age_ms: local_view
             .catalog
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -17,8 +17,8 @@
     sync_intervals::SyncIntervals,
 };
 use trestle_wire::{
-    relay::{WireHave, WireRelay},
-    replicas::{WireAsking, WireDigest, WireView},
+    relay::{WireRelay, WireSyncPosition},
+    replicas::{WireDemandReport, WireServiceView, WireSyncRequest},
 };
 
 /// Time for which the leader's last report is used after it stopped answering. The list of
@@ -180,12 +180,17 @@
         true
     }
 
-    fn build_request(&mut self, daemon: &Daemon, group: &DomainName, token: u64) -> WireAsking {
+    fn build_request(
+        &mut self,
+        daemon: &Daemon,
+        group: &DomainName,
+        token: u64,
+    ) -> WireSyncRequest {
         let is_informed = self
             .informed
             .as_ref()
             .is_some_and(|informed| (&informed.0, informed.1) == (group, token));
-        WireAsking {
+        WireSyncRequest {
             vm: daemon.settings.vm.clone(),
             group: group.to_string(),
             is_leader: false,
@@ -198,11 +203,11 @@
 
     /// Returns the positions that this daemon has reached in the store's tables and in the
     /// leader's placement logs.
-    fn positions(&self, daemon: &Daemon, departures: bool) -> WireHave {
+    fn positions(&self, daemon: &Daemon, departures: bool) -> WireSyncPosition {
         let placements = self.placements.iter();
         let placements =
             placements.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
-        daemon.shared_view.with(|local_view| WireHave {
+        daemon.shared_view.with(|local_view| WireSyncPosition {
             endpoints: local_view.listing.version(),
             config: local_view.catalog.as_ref().map_or(0, |catalog| catalog.version),
             refused: 0,
@@ -211,7 +216,7 @@
         })
     }
 
-    fn demand_reports(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
+    fn demand_reports(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDemandReport> {
         let now_ms = daemon.shared_view.now_ms();
         let Some(catalog) = daemon.shared_view.catalog() else { return Vec::new() };
         let engines = catalog.services.iter().filter(|(_, service)| service.engine.is_some());
@@ -222,12 +227,12 @@
                 .with(|local_view| local_view.local_demand_for(service).report(is_first, now_ms));
             let placements = self.placements.get(service).unwrap_or(&empty);
             let log = placements.position().log;
-            WireDigest::new(service, report, log, |name| placements.number(name))
+            WireDemandReport::new(service, report, log, |name| placements.number(name))
         });
         reports.collect()
     }
 
-    fn apply_views(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
+    fn apply_views(&mut self, daemon: &Daemon, views: BTreeMap<String, WireServiceView>) {
         let now_ms = daemon.shared_view.now_ms();
         let mut has_changed = false;
         let previously_counted = daemon.shared_view.with(|local_view| local_view.daemons);
--- a/crates/trestle-entry/src/settings_watch.rs
+++ b/crates/trestle-entry/src/settings_watch.rs
@@ -50,7 +50,7 @@
         self.has_changed();
         let settings = match trestle_config::read_settings(&self.path) {
             Ok(SettingsFile::Entry(settings)) => settings,
-            Ok(SettingsFile::Own(_)) => {
+            Ok(SettingsFile::Platform(_)) => {
                 tracing::error!(
                     "settings: The file is for another kind of daemon; nothing changes."
                 );
--- a/crates/trestle-lab/src/control/asking.rs
+++ b/crates/trestle-lab/src/control/asking.rs
@@ -15,7 +15,7 @@
     placement_log::{PlacementDelta, PlacementPosition},
     sync_intervals::SyncIntervals,
 };
-use trestle_wire::placements::WireDelta;
+use trestle_wire::placements::WirePlacementDelta;
 
 /// Age up to which what was told to one daemon is told to the next, as in the daemon.
 const TOLD_MS: u64 = 30;
@@ -217,6 +217,6 @@
 
 /// Size of a message on the wire.
 fn encoded_bytes(delta: &PlacementDelta) -> f64 {
-    let wire = WireDelta::from(delta.clone());
+    let wire = WirePlacementDelta::from(delta.clone());
     bincode::DefaultOptions::new().serialized_size(&wire).unwrap_or_default() as f64
 }
--- a/crates/trestle-wire/src/lending.rs
+++ b/crates/trestle-wire/src/allocation.rs
@@ -4,7 +4,7 @@
 
 /// A question for a part of a team's limit.
 #[trestle_macros::wire]
-pub struct WireBorrowing {
+pub struct WireAllocationRequest {
     /// The team.
     pub team: String,
     /// How much: requests, or tokens.
@@ -16,7 +16,7 @@
 /// What becomes of it.
 #[trestle_macros::wire]
 #[derive(Copy)]
-pub enum WireLoan {
+pub enum WireAllocation {
     /// So much may be spent.
     Lent {
         /// Requests, or tokens.
@@ -31,7 +31,7 @@
     NotLending,
 }
 
-impl From<Allocation> for WireLoan {
+impl From<Allocation> for WireAllocation {
     fn from(loan: Allocation) -> Self {
         match loan {
             Allocation::Lent(units) => Self::Lent { units },
--- a/crates/trestle-wire/src/crashes.rs
+++ b/crates/trestle-wire/src/crashes.rs
@@ -4,18 +4,18 @@
 
 /// What is known of one request.
 #[trestle_macros::wire]
-pub struct WireCrash {
+pub struct WireCrashReport {
     /// The digest of the request.
     pub request: [u8; 16],
     /// The last endpoints that ended under it.
-    pub ends: Vec<WireEnd>,
+    pub ends: Vec<WireEndpointCrash>,
     /// Whether it had a whole answer.
     pub is_served: bool,
 }
 
 /// The end of one start of an endpoint.
 #[trestle_macros::wire]
-pub struct WireEnd {
+pub struct WireEndpointCrash {
     /// The endpoint.
     pub endpoint: String,
     /// When it had started, by its own clock.
@@ -26,16 +26,16 @@
 
 /// All requests that are refused, as the answer to a daemon that lacks some.
 #[trestle_macros::wire]
-pub struct WireRefused {
+pub struct WireRestrictedRequests {
     /// The requests.
-    pub crashes: Vec<WireCrash>,
+    pub crashes: Vec<WireCrashReport>,
     /// Number of the last change, to be told when asking again.
     pub number: u64,
 }
 
-impl From<CrashReport> for WireCrash {
+impl From<CrashReport> for WireCrashReport {
     fn from(report: CrashReport) -> Self {
-        let ends = report.crashes.into_iter().map(|(incarnation, age_ms)| WireEnd {
+        let ends = report.crashes.into_iter().map(|(incarnation, age_ms)| WireEndpointCrash {
             endpoint: incarnation.name.to_string(),
             born_ms: incarnation.started_unix_ms,
             age_ms,
@@ -48,8 +48,8 @@
     }
 }
 
-impl From<WireCrash> for CrashReport {
-    fn from(wire: WireCrash) -> Self {
+impl From<WireCrashReport> for CrashReport {
+    fn from(wire: WireCrashReport) -> Self {
         let ends = wire.ends.into_iter().map(|end| {
             (Incarnation { name: end.endpoint.into(), started_unix_ms: end.born_ms }, end.age_ms)
         });
--- a/crates/trestle-wire/src/lib.rs
+++ b/crates/trestle-wire/src/lib.rs
@@ -12,28 +12,28 @@
 //! - [`placements`]: where models are, by change.
 //! - [`relay`]: what the leader passes on of the store.
 //! - [`crashes`]: requests under which endpoints ended; [`trials`]: which attempt of one may run.
-//! - [`lending`]: parts of the limits of teams.
+//! - [`allocation`]: parts of the limits of teams.
 //! - [`claim`]: calls that may not be repeated.
 //! - [`admin`]: what operators ask a daemon.
-//! - [`habits`]: what is kept of the times at which models are used.
+//! - [`usage_profile`]: what is kept of the times at which models are used.
 //! - [`headers`]: HTTP headers towards callers and endpoints.
 
 pub mod admin;
+pub mod allocation;
 pub mod claim;
 pub mod crashes;
 pub mod departures;
 mod error;
-pub mod habits;
 pub mod headers;
-pub mod lending;
 pub mod order;
 pub mod peer;
 pub mod placements;
-pub mod places;
 pub mod relay;
 pub mod replicas;
 pub mod row;
+pub mod send_permits;
 pub mod table;
 pub mod trials;
+pub mod usage_profile;
 
 pub use error::{Error, Result};
--- a/crates/trestle-wire/src/peer.rs
+++ b/crates/trestle-wire/src/peer.rs
@@ -7,7 +7,7 @@
 #[tarpc::service]
 pub trait Peer {
     /// Asks for a permit; the answer comes when the request may be sent, or must not.
-    async fn ask(ask: WireAsk) -> WireAnswer;
+    async fn ask(ask: WirePermitRequest) -> WirePermitAnswer;
     /// Gives a permit back.
     async fn release(endpoint: String, ticket: u64);
     /// Asks whether this daemon owns the endpoint, or will as soon as it can.
@@ -31,7 +31,7 @@
 
 /// An ask for a permit.
 #[trestle_macros::wire]
-pub struct WireAsk {
+pub struct WirePermitRequest {
     /// The VM of the entry daemon.
     pub entry: String,
     /// The endpoint the request would go to.
@@ -50,9 +50,9 @@
     pub patience_ms: Option<u64>,
 }
 
-impl WireAsk {
+impl WirePermitRequest {
     /// The ask as the owner takes it, at the owner's time.
-    pub fn received(self, ticket: Ticket, now_ms: u64) -> PermitRequest {
+    pub fn into_permit_request(self, ticket: Ticket, now_ms: u64) -> PermitRequest {
         PermitRequest {
             ticket,
             entry: self.entry.into(),
@@ -71,7 +71,7 @@
 
 /// The answer to an ask.
 #[trestle_macros::wire]
-pub enum WireAnswer {
+pub enum WirePermitAnswer {
     /// The request may be sent now.
     Granted {
         /// Identifies the permit at this owner.
@@ -116,7 +116,7 @@
     DeadlinePassed,
 }
 
-impl WireAnswer {
+impl WirePermitAnswer {
     /// The wire form of an answer to the ask with the ticket.
     pub fn new(ticket: Ticket, answer: PermitAnswer) -> Self {
         match answer {
--- a/crates/trestle-wire/src/placements.rs
+++ b/crates/trestle-wire/src/placements.rs
@@ -5,7 +5,7 @@
 /// How much of a leader's log a daemon has.
 #[trestle_macros::wire]
 #[derive(Copy, Default)]
-pub struct WirePosition {
+pub struct WirePlacementPosition {
     /// The log, by its random number.
     pub log: u64,
     /// Changes that it has taken.
@@ -17,7 +17,7 @@
 /// What a daemon lacks of a log.
 #[trestle_macros::wire]
 #[derive(Default)]
-pub struct WireDelta {
+pub struct WirePlacementDelta {
     /// The log, by its random number.
     pub log: u64,
     /// The change up to which this leads.
@@ -29,13 +29,13 @@
     /// Names, numbered one after the other.
     pub names: Vec<String>,
     /// Changes, in their order.
-    pub changes: Vec<WireChange>,
+    pub changes: Vec<WirePlacementChange>,
 }
 
 /// A change of what one engine can run: the numbers of the engine, the model and the adapter.
 #[trestle_macros::wire]
 #[derive(Copy)]
-pub enum WireChange {
+pub enum WirePlacementChange {
     /// An engine is there.
     Listed(u32),
     /// It is gone.
@@ -69,21 +69,21 @@
     }
 }
 
-impl From<PlacementPosition> for WirePosition {
+impl From<PlacementPosition> for WirePlacementPosition {
     fn from(position: PlacementPosition) -> Self {
         let PlacementPosition { log, sequence, names } = position;
         Self { log, sequence, names }
     }
 }
 
-impl From<WirePosition> for PlacementPosition {
-    fn from(wire: WirePosition) -> Self {
-        let WirePosition { log, sequence, names } = wire;
+impl From<WirePlacementPosition> for PlacementPosition {
+    fn from(wire: WirePlacementPosition) -> Self {
+        let WirePlacementPosition { log, sequence, names } = wire;
         Self { log, sequence, names }
     }
 }
 
-impl From<PlacementDelta> for WireDelta {
+impl From<PlacementDelta> for WirePlacementDelta {
     fn from(delta: PlacementDelta) -> Self {
         Self {
             log: delta.log,
@@ -91,13 +91,13 @@
             is_whole: delta.is_whole,
             first_name: delta.first_name,
             names: delta.names.iter().map(|name| name.as_ref().to_owned()).collect(),
-            changes: delta.changes.into_iter().map(WireChange::from).collect(),
+            changes: delta.changes.into_iter().map(WirePlacementChange::from).collect(),
         }
     }
 }
 
-impl From<WireDelta> for PlacementDelta {
-    fn from(wire: WireDelta) -> Self {
+impl From<WirePlacementDelta> for PlacementDelta {
+    fn from(wire: WirePlacementDelta) -> Self {
         Self {
             log: wire.log,
             sequence: wire.sequence,
@@ -109,7 +109,7 @@
     }
 }
 
-impl From<PlacementChange> for WireChange {
+impl From<PlacementChange> for WirePlacementChange {
     fn from(change: PlacementChange) -> Self {
         match change {
             PlacementChange::Listed { engine } => Self::Listed(engine),
@@ -126,15 +126,17 @@
     }
 }
 
-impl From<WireChange> for PlacementChange {
-    fn from(wire: WireChange) -> Self {
+impl From<WirePlacementChange> for PlacementChange {
+    fn from(wire: WirePlacementChange) -> Self {
         match wire {
-            WireChange::Listed(engine) => Self::Listed { engine },
-            WireChange::Gone(engine) => Self::Gone { engine },
-            WireChange::Model(engine, model) => Self::Model { engine, model },
-            WireChange::NoModel(engine, model) => Self::NoModel { engine, model },
-            WireChange::Adapter(engine, model, adapter) => Self::Adapter { engine, model, adapter },
-            WireChange::NoAdapter(engine, model, adapter) => {
+            WirePlacementChange::Listed(engine) => Self::Listed { engine },
+            WirePlacementChange::Gone(engine) => Self::Gone { engine },
+            WirePlacementChange::Model(engine, model) => Self::Model { engine, model },
+            WirePlacementChange::NoModel(engine, model) => Self::NoModel { engine, model },
+            WirePlacementChange::Adapter(engine, model, adapter) => {
+                Self::Adapter { engine, model, adapter }
+            }
+            WirePlacementChange::NoAdapter(engine, model, adapter) => {
                 Self::NoAdapter { engine, model, adapter }
             }
         }
--- a/crates/trestle-wire/src/relay.rs
+++ b/crates/trestle-wire/src/relay.rs
@@ -1,6 +1,6 @@
 //! What the leader passes on of the store, so that others need not follow it.
 
-use crate::{departures::WireDeparture, placements::WirePosition};
+use crate::{departures::WireDeparture, placements::WirePlacementPosition};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 use trestle_dispatch::{
     compressed_text::CompressedText,
@@ -11,7 +11,7 @@
 
 /// What a daemon already has of the store.
 #[trestle_macros::wire]
-pub struct WireHave {
+pub struct WireSyncPosition {
     /// The version of its list of endpoints; 0 if it has none.
     pub endpoints: u64,
     /// The configuration that it has in force; 0 if none is.
@@ -21,18 +21,18 @@
     /// Whether it has heard from this leader of endpoints that left or are gone.
     pub departures: bool,
     /// How much it has of the leader's logs, by service.
-    pub placements: BTreeMap<String, WirePosition>,
+    pub placements: BTreeMap<String, WirePlacementPosition>,
 }
 
 /// What has changed since.
 #[trestle_macros::wire]
 pub struct WireRelay {
     /// Changes of the list of endpoints.
-    pub endpoints: WireNews,
+    pub endpoints: WireListUpdate,
     /// Endpoints that left or are gone, for a daemon that asks for the first time.
     pub departures: Vec<WireDeparture>,
     /// The configuration, if it is newer.
-    pub config: Option<WireConfig>,
+    pub config: Option<WireConfigUpdate>,
     /// Time since the store last answered the sender about both.
     pub age_ms: u64,
     /// Time since the sender asked the question by whose answer its configuration was the
@@ -42,7 +42,7 @@
 
 /// What a daemon is told of the configuration.
 #[trestle_macros::wire]
-pub enum WireConfig {
+pub enum WireConfigUpdate {
     /// Its text, packed.
     Whole(Vec<u8>),
     /// What has changed since a version.
@@ -50,13 +50,13 @@
         /// That version.
         from: u64,
         /// What makes the new text out of it.
-        pieces: Vec<WirePiece>,
+        pieces: Vec<WireConfigPiece>,
     },
 }
 
 /// One part of a text.
 #[trestle_macros::wire]
-pub enum WirePiece {
+pub enum WireConfigPiece {
     /// Bytes of the old text: where they begin, and how many.
     Kept(usize, usize),
     /// Bytes that are new, packed.
@@ -65,11 +65,11 @@
 
 /// Changes of the list of endpoints.
 #[trestle_macros::wire]
-pub struct WireNews {
+pub struct WireListUpdate {
     /// Whether what is not named does not exist.
     pub is_whole: bool,
     /// Entries that were written, with their versions.
-    pub written: Vec<(WireEndpoint, u64)>,
+    pub written: Vec<(WireListedEndpoint, u64)>,
     /// Entries that were removed, with the versions of their removal.
     pub removed: Vec<(String, u64)>,
     /// The version that this leads up to.
@@ -79,7 +79,7 @@
 /// One live endpoint, without what it holds and the copies of weights near it: leaders read
 /// those from the store, and tell where models are by their logs.
 #[trestle_macros::wire]
-pub struct WireEndpoint {
+pub struct WireListedEndpoint {
     /// Its name.
     pub name: String,
     /// When it started, by its own clock.
@@ -98,23 +98,23 @@
     pub entry_number: u64,
 }
 
-impl From<ConfigUpdate> for WireConfig {
+impl From<ConfigUpdate> for WireConfigUpdate {
     fn from(news: ConfigUpdate) -> Self {
         match news {
             ConfigUpdate::Whole(text) => Self::Whole(text.as_bytes().to_vec()),
             ConfigUpdate::Changes { from, pieces } => {
-                let pieces = pieces.iter().cloned().map(WirePiece::from).collect();
+                let pieces = pieces.iter().cloned().map(WireConfigPiece::from).collect();
                 Self::Changes { from, pieces }
             }
         }
     }
 }
 
-impl From<WireConfig> for ConfigUpdate {
-    fn from(wire: WireConfig) -> Self {
+impl From<WireConfigUpdate> for ConfigUpdate {
+    fn from(wire: WireConfigUpdate) -> Self {
         match wire {
-            WireConfig::Whole(text) => Self::Whole(CompressedText::from_bytes(text)),
-            WireConfig::Changes { from, pieces } => {
+            WireConfigUpdate::Whole(text) => Self::Whole(CompressedText::from_bytes(text)),
+            WireConfigUpdate::Changes { from, pieces } => {
                 let pieces = pieces.into_iter().map(CompressedPiece::from).collect();
                 Self::Changes { from, pieces: Arc::new(pieces) }
             }
@@ -122,7 +122,7 @@
     }
 }
 
-impl From<CompressedPiece> for WirePiece {
+impl From<CompressedPiece> for WireConfigPiece {
     fn from(piece: CompressedPiece) -> Self {
         match piece {
             CompressedPiece::Kept(from, length) => Self::Kept(from, length),
@@ -131,19 +131,20 @@
     }
 }
 
-impl From<WirePiece> for CompressedPiece {
-    fn from(wire: WirePiece) -> Self {
+impl From<WireConfigPiece> for CompressedPiece {
+    fn from(wire: WireConfigPiece) -> Self {
         match wire {
-            WirePiece::Kept(from, length) => Self::Kept(from, length),
-            WirePiece::New(bytes) => Self::New(CompressedText::from_bytes(bytes)),
+            WireConfigPiece::Kept(from, length) => Self::Kept(from, length),
+            WireConfigPiece::New(bytes) => Self::New(CompressedText::from_bytes(bytes)),
         }
     }
 }
 
-impl From<ListUpdate> for WireNews {
+impl From<ListUpdate> for WireListUpdate {
     fn from(news: ListUpdate) -> Self {
         let written = news.written.into_iter();
-        let written = written.map(|entry| (WireEndpoint::from(entry.endpoint), entry.version));
+        let written =
+            written.map(|entry| (WireListedEndpoint::from(entry.endpoint), entry.version));
         Self {
             is_whole: news.is_whole,
             written: written.collect(),
@@ -153,8 +154,8 @@
     }
 }
 
-impl From<WireNews> for ListUpdate {
-    fn from(wire: WireNews) -> Self {
+impl From<WireListUpdate> for ListUpdate {
+    fn from(wire: WireListUpdate) -> Self {
         let written = wire.written.into_iter().map(|(endpoint, version)| ListedEntry {
             key: endpoint.name.clone(),
             endpoint: Endpoint::from(endpoint),
@@ -169,7 +170,7 @@
     }
 }
 
-impl From<Endpoint> for WireEndpoint {
+impl From<Endpoint> for WireListedEndpoint {
     fn from(endpoint: Endpoint) -> Self {
         Self {
             name: endpoint.name.to_string(),
@@ -184,8 +185,8 @@
     }
 }
 
-impl From<WireEndpoint> for Endpoint {
-    fn from(wire: WireEndpoint) -> Self {
+impl From<WireListedEndpoint> for Endpoint {
+    fn from(wire: WireListedEndpoint) -> Self {
         Self {
             name: wire.name.into(),
             started_unix_ms: wire.born_ms,
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -1,12 +1,12 @@
 //! What daemons and the leader tell each other.
 
 use crate::{
-    crashes::{WireCrash, WireRefused},
+    allocation::{WireAllocation, WireAllocationRequest},
+    crashes::{WireCrashReport, WireRestrictedRequests},
     departures::WireDeparture,
-    lending::{WireBorrowing, WireLoan},
-    placements::{WireDelta, WireName},
-    places::{WirePlace, WirePlaceAsking},
-    relay::{WireHave, WireRelay},
+    placements::{WireName, WirePlacementDelta},
+    relay::{WireRelay, WireSyncPosition},
+    send_permits::{WireSendPermit, WireSendPermitRequest},
     trials::{WireTrial, WireTrialAnswer},
 };
 use std::{collections::BTreeMap, iter, net::SocketAddr, sync::Arc};
@@ -26,18 +26,18 @@
 #[tarpc::service]
 pub trait Replicas {
     /// Tells what callers ask for, and learns where models are.
-    async fn sync(asking: WireAsking) -> WireSynced;
+    async fn sync(asking: WireSyncRequest) -> WireSyncResponse;
     /// Asks whether an attempt of a request that ended endpoints may run, or says that it has ended.
     async fn try_out(trial: WireTrial) -> WireTrialAnswer;
     /// Asks for a part of a team's limit.
-    async fn lend(borrowing: WireBorrowing) -> WireLoan;
+    async fn lend(borrowing: WireAllocationRequest) -> WireAllocation;
     /// Asks for a place at an endpoint that has named a limit.
-    async fn lend_place(asking: WirePlaceAsking) -> WirePlace;
+    async fn lend_place(asking: WireSendPermitRequest) -> WireSendPermit;
 }
 
 /// What a daemon tells a leader, and what it has heard already.
 #[trestle_macros::wire]
-pub struct WireAsking {
+pub struct WireSyncRequest {
     /// The VM that asks.
     pub vm: String,
     /// The group whose leader is asked.
@@ -47,17 +47,17 @@
     /// Daemons that ask it, where it leads.
     pub members: u32,
     /// What is asked for, by service.
-    pub digests: Vec<WireDigest>,
+    pub digests: Vec<WireDemandReport>,
     /// What it has noted of requests under which endpoints ended, since it last told.
-    pub crashes: Vec<WireCrash>,
+    pub crashes: Vec<WireCrashReport>,
     /// What it has.
-    pub have: WireHave,
+    pub have: WireSyncPosition,
 }
 
 /// What the leader answers.
 #[trestle_macros::wire]
 #[derive(Default)]
-pub struct WireSynced {
+pub struct WireSyncResponse {
     /// Leases as it last knew them: those that it holds, and that of the group asked for.
     pub leases: Vec<WireGroupLease>,
     /// Whether it leads.
@@ -67,11 +67,11 @@
     /// Daemons that ask it; 0 while it cannot tell.
     pub members: u32,
     /// Said of groups for which it has stepped down.
-    pub resigned: Vec<(String, WireResigned)>,
+    pub resigned: Vec<(String, WireResignation)>,
     /// What it knows, by service.
-    pub views: BTreeMap<String, WireView>,
+    pub views: BTreeMap<String, WireServiceView>,
     /// Requests that are refused, if the asker lacks some.
-    pub refused: Option<WireRefused>,
+    pub refused: Option<WireRestrictedRequests>,
     /// What has changed in the store since what the asker has.
     pub relay: Option<WireRelay>,
 }
@@ -82,14 +82,14 @@
     /// The group.
     pub group: String,
     /// The row.
-    pub row: WireLease,
+    pub row: WireLeaseRow,
     /// Its version.
     pub version: u64,
 }
 
 /// What a leader says that has stepped down.
 #[trestle_macros::wire]
-pub struct WireResigned {
+pub struct WireResignation {
     /// The fencing number under which it gives no order any more.
     pub token: u64,
     /// Time for which nobody may give any order.
@@ -102,7 +102,7 @@
 
 /// The lease on giving orders, as the store's row holds it.
 #[trestle_macros::wire]
-pub struct WireLease {
+pub struct WireLeaseRow {
     /// The machine that holds it.
     pub holder: String,
     /// Where its daemon answers others.
@@ -125,7 +125,7 @@
     pub daemons: u32,
     /// Requests that are refused, as far as they find room.
     #[serde(default)]
-    pub refused: Vec<WireCrash>,
+    pub refused: Vec<WireCrashReport>,
     /// Endpoints that left or are gone, as far as they find room.
     #[serde(default)]
     pub departures: Vec<WireDeparture>,
@@ -133,7 +133,7 @@
 
 /// What one daemon tells of one service.
 #[trestle_macros::wire]
-pub struct WireDigest {
+pub struct WireDemandReport {
     /// The service.
     pub service: String,
     /// Number of the digest.
@@ -173,9 +173,9 @@
 /// What the leader knows of one service.
 #[trestle_macros::wire]
 #[derive(Default)]
-pub struct WireView {
+pub struct WireServiceView {
     /// What the asker lacks of where models are.
-    pub placements: WireDelta,
+    pub placements: WirePlacementDelta,
     /// Requests that run at each engine, in the order of the engines' numbers.
     pub running: Vec<u32>,
     /// When models, or their adapters, will be ready.
@@ -188,7 +188,7 @@
     pub planned: u64,
 }
 
-impl WireResigned {
+impl WireResignation {
     /// The wire form of what a leader says that has stepped down.
     pub fn new(resignation: Resignation, engines: BTreeMap<EndpointName, u64>) -> Self {
         Self {
@@ -200,8 +200,8 @@
     }
 }
 
-impl From<WireResigned> for (Resignation, BTreeMap<EndpointName, u64>) {
-    fn from(wire: WireResigned) -> Self {
+impl From<WireResignation> for (Resignation, BTreeMap<EndpointName, u64>) {
+    fn from(wire: WireResignation) -> Self {
         let resignation = Resignation {
             token: wire.token,
             quiet_for_ms: wire.quiet_for_ms,
@@ -212,7 +212,7 @@
     }
 }
 
-impl From<&LeaseRow> for WireLease {
+impl From<&LeaseRow> for WireLeaseRow {
     fn from(row: &LeaseRow) -> Self {
         Self {
             holder: row.holder.clone(),
@@ -224,14 +224,14 @@
             has_begun: row.has_begun,
             is_released: row.is_released,
             daemons: row.daemons,
-            refused: row.refused.iter().cloned().map(WireCrash::from).collect(),
+            refused: row.refused.iter().cloned().map(WireCrashReport::from).collect(),
             departures: row.departures.iter().cloned().map(WireDeparture::from).collect(),
         }
     }
 }
 
-impl From<WireLease> for LeaseRow {
-    fn from(wire: WireLease) -> Self {
+impl From<WireLeaseRow> for LeaseRow {
+    fn from(wire: WireLeaseRow) -> Self {
         Self {
             holder: wire.holder,
             address: wire.address,
@@ -248,7 +248,7 @@
     }
 }
 
-impl WireDigest {
+impl WireDemandReport {
     /// The wire form of what one daemon tells of a service, with the numbers of a log.
     pub fn new(
         service: &ServiceName,
@@ -285,7 +285,7 @@
 
     /// What it says, given the names that numbers stand for. What has a number without a name
     /// is left out: the asker learnt it from another leader, and tells it anew next time.
-    pub fn into_digest(
+    pub fn into_report(
         self,
         name: impl Fn(u32) -> Option<Arc<str>>,
     ) -> (ServiceName, DemandReport) {
@@ -345,7 +345,7 @@
     }
 }
 
-impl WireView {
+impl WireServiceView {
     /// What it says, given where models are by the asker's copy of the leader's log.
     pub fn into_view(self, placements: &PlacementMirror) -> ReplicaView {
         let engines = placements.engines().zip(self.running.iter().chain(iter::repeat(&0)));
--- a/crates/trestle-wire/src/row.rs
+++ b/crates/trestle-wire/src/row.rs
@@ -37,14 +37,14 @@
 
 /// A stored lease.
 #[trestle_macros::wire]
-pub struct WireLease {
+pub struct WireMemberLease {
     renewals: u64,
     epoch: u64,
 }
 
 /// A stored endpoint row.
 #[trestle_macros::wire]
-pub struct WireEndpoint {
+pub struct WireEndpointRow {
     placed: BTreeMap<String, WirePlacement>,
 }
 
@@ -107,8 +107,8 @@
 pub fn row_to_value(row: &Row) -> Value {
     match row {
         Row::Membership(row) => to_value(WireMembership::from(row)),
-        Row::Lease(row) => to_value(WireLease { renewals: row.renewals, epoch: row.epoch }),
-        Row::Endpoint(row) => to_value(WireEndpoint::from(row)),
+        Row::Lease(row) => to_value(WireMemberLease { renewals: row.renewals, epoch: row.epoch }),
+        Row::Endpoint(row) => to_value(WireEndpointRow::from(row)),
         Row::Model(row) => to_value(WireModel { replicas: strings(&row.replicas) }),
     }
 }
@@ -122,10 +122,10 @@
     Ok(match key {
         RowKey::Membership(_) => Row::Membership(parse::<WireMembership>(key, value)?.into()),
         RowKey::Lease(..) => {
-            let lease: WireLease = parse(key, value)?;
+            let lease: WireMemberLease = parse(key, value)?;
             Row::Lease(LeaseRow { renewals: lease.renewals, epoch: lease.epoch })
         }
-        RowKey::Endpoint(_) => Row::Endpoint(parse::<WireEndpoint>(key, value)?.into()),
+        RowKey::Endpoint(_) => Row::Endpoint(parse::<WireEndpointRow>(key, value)?.into()),
         RowKey::Model(_) => {
             let model: WireModel = parse(key, value)?;
             let replicas = model.replicas.into_iter().map(Into::into).collect();
@@ -186,7 +186,7 @@
     }
 }
 
-impl From<&EndpointRow> for WireEndpoint {
+impl From<&EndpointRow> for WireEndpointRow {
     fn from(row: &EndpointRow) -> Self {
         let placed = row.placed.iter().map(|(model, placement)| {
             let retiring = placement.retiring.as_ref().map(|retiring| WireRetiring {
@@ -199,8 +199,8 @@
     }
 }
 
-impl From<WireEndpoint> for EndpointRow {
-    fn from(wire: WireEndpoint) -> Self {
+impl From<WireEndpointRow> for EndpointRow {
+    fn from(wire: WireEndpointRow) -> Self {
         let placed = wire.placed.into_iter().map(|(model, placement)| {
             let retiring = placement.retiring.map(|retiring| Retiring {
                 epoch: retiring.epoch,
--- a/crates/trestle-wire/src/places.rs
+++ b/crates/trestle-wire/src/send_permits.rs
@@ -4,7 +4,7 @@
 
 /// A question for a place at an endpoint: whether one request may be sent there.
 #[trestle_macros::wire]
-pub struct WirePlaceAsking {
+pub struct WireSendPermitRequest {
     /// The endpoint.
     pub endpoint: String,
     /// When this life of it started, by its own clock.
@@ -26,7 +26,7 @@
 /// What becomes of it.
 #[trestle_macros::wire]
 #[derive(Copy)]
-pub enum WirePlace {
+pub enum WireSendPermit {
     /// One request may be sent.
     Lent,
     /// There is no place.
@@ -40,9 +40,9 @@
     NotLending,
 }
 
-impl WirePlaceAsking {
+impl WireSendPermitRequest {
     /// What the one who asks has heard of the limit, on the clock of the one who is asked.
-    pub fn heard(&self, now_ms: u64) -> ObservedLimit {
+    pub fn observed_limit(&self, now_ms: u64) -> ObservedLimit {
         ObservedLimit {
             per_ks: self.per_ks,
             observed_ms: now_ms.saturating_sub(self.heard_ago_ms),
@@ -52,7 +52,7 @@
     }
 }
 
-impl From<SendPermit> for WirePlace {
+impl From<SendPermit> for WireSendPermit {
     fn from(place: SendPermit) -> Self {
         match place {
             SendPermit::Lent => Self::Lent,
--- a/crates/trestled/src/asking.rs
+++ b/crates/trestled/src/asking.rs
@@ -19,7 +19,7 @@
     names::{EndpointName, ModelName, TeamName},
     permit::{PERMIT_USE_MS, Ticket},
 };
-use trestle_wire::peer::{WireAnswer, WireAsk, WireRefusal};
+use trestle_wire::peer::{WirePermitAnswer, WirePermitRequest, WireRefusal};
 
 /// Time between two questions to an owner whether it is still there.
 const ALIVE_INTERVAL_MS: u64 = 500;
@@ -52,7 +52,7 @@
 /// What became of an ask.
 pub(crate) enum Asked {
     Granted(Permit),
-    Answered(WireAnswer),
+    Answered(WirePermitAnswer),
     /// No owner could be found.
     NoOwner,
 }
@@ -71,7 +71,7 @@
             ask_peer(daemon, address, endpoint, wish, ranks_lost).await
         };
         match answer {
-            Some(WireAnswer::Granted { ticket, cold }) => {
+            Some(WirePermitAnswer::Granted { ticket, cold }) => {
                 return Asked::Granted(Permit {
                     endpoint: endpoint.clone(),
                     cold,
@@ -81,19 +81,24 @@
                     ticket: Ticket(ticket),
                 });
             }
-            Some(WireAnswer::NotOwner { owner_rank: Some(owner) }) if usize::from(owner) > rank => {
+            Some(WirePermitAnswer::NotOwner { owner_rank: Some(owner) })
+                if usize::from(owner) > rank =>
+            {
                 rank = usize::from(owner);
             }
             // The owner lives, but this daemon cannot reach it.
-            Some(WireAnswer::NotOwner { owner_rank: Some(_) }) => return Asked::NoOwner,
-            Some(WireAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
+            Some(WirePermitAnswer::NotOwner { owner_rank: Some(_) }) => return Asked::NoOwner,
+            Some(WirePermitAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
             Some(answer) => return Asked::Answered(answer),
         }
     }
     if wish.deadline <= Instant::now() {
         // Nobody could be asked in time, which says nothing of the owners.
         let reason = WireRefusal::DeadlineTooClose;
-        return Asked::Answered(WireAnswer::Refused { reason, retry_after_ms: TOO_CLOSE_RETRY_MS });
+        return Asked::Answered(WirePermitAnswer::Refused {
+            reason,
+            retry_after_ms: TOO_CLOSE_RETRY_MS,
+        });
     }
     Asked::NoOwner
 }
@@ -103,9 +108,9 @@
     endpoint: &EndpointName,
     wish: Wish<'_>,
     ranks_lost: u8,
-) -> Option<WireAsk> {
+) -> Option<WirePermitRequest> {
     let due_in = wish.deadline.checked_duration_since(Instant::now())?;
-    Some(WireAsk {
+    Some(WirePermitRequest {
         entry: daemon.me.to_string(),
         endpoint: endpoint.to_string(),
         model: wish.model.to_string(),
@@ -122,7 +127,7 @@
     endpoint: &EndpointName,
     wish: Wish<'_>,
     ranks_lost: u8,
-) -> Option<WireAnswer> {
+) -> Option<WirePermitAnswer> {
     let ask = wire_ask(daemon, endpoint, wish, ranks_lost)?;
     Some(take_ask(Arc::clone(daemon), ask).await)
 }
@@ -133,9 +138,9 @@
     endpoint: &EndpointName,
     wish: Wish<'_>,
     ranks_lost: u8,
-) -> Option<WireAnswer> {
+) -> Option<WirePermitAnswer> {
     let ask = wire_ask(daemon, endpoint, wish, ranks_lost)?;
-    let asked = async { daemon.peers.ask(address, ask).await.ok() };
+    let asked = async { daemon.peers.request_permit(address, ask).await.ok() };
     let lost = async {
         watch(daemon, address, endpoint).await;
         None
@@ -154,17 +159,17 @@
 }
 
 /// Puts an ask to this daemon's own control thread, and withdraws it when dropped.
-pub(crate) async fn take_ask(daemon: Arc<Daemon>, ask: WireAsk) -> WireAnswer {
+pub(crate) async fn take_ask(daemon: Arc<Daemon>, ask: WirePermitRequest) -> WirePermitAnswer {
     let ticket = daemon.next_ticket();
     let endpoint = EndpointName::from(ask.endpoint.as_str());
     let (reply, answer) = async_channel::bounded(1);
     let mut withdrawal = Withdrawal { daemon: Arc::clone(&daemon), endpoint, ticket, is_due: true };
-    daemon.send(Message::Ask(ask.received(ticket, daemon.now_ms()), reply));
+    daemon.send(Message::Ask(ask.into_permit_request(ticket, daemon.now_ms()), reply));
     let answer = answer.recv().await;
     withdrawal.is_due = false;
     match answer {
-        Ok(answer) => WireAnswer::new(ticket, answer),
-        Err(_) => WireAnswer::NotOwner { owner_rank: None },
+        Ok(answer) => WirePermitAnswer::new(ticket, answer),
+        Err(_) => WirePermitAnswer::NotOwner { owner_rank: None },
     }
 }
 
--- a/crates/trestled/src/entry/permits.rs
+++ b/crates/trestled/src/entry/permits.rs
@@ -17,7 +17,7 @@
     time::{Duration, Instant},
 };
 use trestle_core::names::{EndpointName, ModelName};
-use trestle_wire::peer::{WireAnswer, WireRefusal};
+use trestle_wire::peer::{WirePermitAnswer, WireRefusal};
 
 /// When to come back if no owner of a fitting endpoint can be found.
 const NO_OWNER_RETRY_MS: u64 = 2_000;
@@ -137,16 +137,16 @@
         };
         self.any_owner = true;
         match answer {
-            WireAnswer::NotPlaced => {
+            WirePermitAnswer::NotPlaced => {
                 daemon.traffic().places.note_not_placed(model, &endpoint, now_ms);
             }
-            WireAnswer::Busy { wait_ms } => {
+            WirePermitAnswer::Busy { wait_ms } => {
                 let is_less = self.least_busy.as_ref().is_none_or(|(least, _)| wait_ms < *least);
                 if is_less {
                     self.least_busy = Some((wait_ms, endpoint));
                 }
             }
-            WireAnswer::Refused { reason, retry_after_ms }
+            WirePermitAnswer::Refused { reason, retry_after_ms }
                 if self.refusal.is_none_or(|(least, _)| retry_after_ms < least) =>
             {
                 self.refusal = Some((retry_after_ms, reason));
--- a/crates/trestled/src/main.rs
+++ b/crates/trestled/src/main.rs
@@ -61,7 +61,7 @@
         return Ok(());
     }
     match settings {
-        SettingsFile::Own(settings) => run_own(settings),
+        SettingsFile::Platform(settings) => run_own(settings),
         SettingsFile::Entry(settings) => {
             let wire = surroundings::platform();
             trestle_entry::run(settings, args.settings_path, wire).context(EntrySnafu)
--- a/crates/trestled/src/peer_server.rs
+++ b/crates/trestled/src/peer_server.rs
@@ -20,7 +20,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use trestle_core::{event::Event, permit::Ticket};
 use trestle_wire::{
-    peer::{Peer, WireAnswer, WireAsk, WireConfig},
+    peer::{Peer, WireConfig, WirePermitAnswer, WirePermitRequest},
     row::WireMembership,
 };
 
@@ -58,7 +58,7 @@
 struct PeerServer(Arc<Daemon>);
 
 impl Peer for PeerServer {
-    async fn ask(self, _: Context, ask: WireAsk) -> WireAnswer {
+    async fn ask(self, _: Context, ask: WirePermitRequest) -> WirePermitAnswer {
         asking::take_ask(self.0, ask).await
     }
 
--- a/crates/trestled/src/shell.rs
+++ b/crates/trestled/src/shell.rs
@@ -9,7 +9,7 @@
     row::{CommitOutcome, RowKey, Txn},
     usage_profile::UsageProfile,
 };
-use trestle_wire::habits::{WireHabits, habits_object};
+use trestle_wire::usage_profile::{WireUsageProfiles, usage_profiles_object};
 
 /// Carries out one action, in a task of its own where it takes time.
 pub(crate) fn carry_out(daemon: &Arc<Daemon>, domain: &DomainName, action: Action) {
@@ -86,8 +86,9 @@
 }
 
 async fn fetch_habits(daemon: Arc<Daemon>, endpoint: EndpointName) {
-    let content = daemon.platform.get_object(&habits_object(endpoint.as_str())).await;
-    let wire = content.ok().and_then(|content| serde_json::from_slice::<WireHabits>(&content).ok());
+    let content = daemon.platform.get_object(&usage_profiles_object(endpoint.as_str())).await;
+    let wire =
+        content.ok().and_then(|content| serde_json::from_slice::<WireUsageProfiles>(&content).ok());
     if let Some(wire) = wire {
         daemon.tell(Event::UsageProfiles(endpoint, wire.into()));
     }
@@ -98,8 +99,9 @@
     endpoint: EndpointName,
     habits: BTreeMap<ModelName, UsageProfile>,
 ) {
-    let Ok(content) = serde_json::to_vec(&WireHabits::from(&habits)) else { return };
-    let kept = daemon.platform.put_object(&habits_object(endpoint.as_str()), &content).await;
+    let Ok(content) = serde_json::to_vec(&WireUsageProfiles::from(&habits)) else { return };
+    let kept =
+        daemon.platform.put_object(&usage_profiles_object(endpoint.as_str()), &content).await;
     if let Err(error) = kept {
         tracing::debug!("owner: Habits at {endpoint} were not kept: {error}.");
     }
