--- a/crates/trestle-wire/src/allocation.rs
+++ b/crates/trestle-wire/src/allocation.rs
@@ -1,39 +1,39 @@
-//! What daemons ask of leaders for teams that have limits.
+//! Allocations of team limits, as daemons request them from leaders.
 
 use trestle_dispatch::quota_allocator::Allocation;
 
-/// A question for a part of a team's limit.
+/// Request for units of a team's limit.
 #[trestle_macros::wire]
 pub struct WireAllocationRequest {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// How much: requests, or tokens.
+    /// Number of units: requests, or tokens.
     pub units: u64,
-    /// Whether a leader asks, for its own daemons.
+    /// Whether another leader requests the units, for the daemons that sync with it.
     pub is_leader: bool,
 }
 
-/// What becomes of it.
+/// Answer to a request for units of a team's limit.
 #[trestle_macros::wire]
 #[derive(Copy)]
 pub enum WireAllocation {
-    /// So much may be spent.
+    /// The units are allocated and may be spent.
     Lent {
-        /// Requests, or tokens.
+        /// Number of units: requests, or tokens.
         units: u64,
     },
-    /// There is too little.
+    /// Too few units are left.
     Refused {
-        /// Time until there will be enough.
+        /// Time until enough units will be available, in milliseconds.
         in_ms: u64,
     },
-    /// The one that was asked does not lead, or does not know the team.
+    /// The receiving daemon is no leader, or the team is not configured there or has no limit.
     NotLending,
 }
 
 impl From<Allocation> for WireAllocation {
-    fn from(loan: Allocation) -> Self {
-        match loan {
+    fn from(allocation: Allocation) -> Self {
+        match allocation {
             Allocation::Lent(units) => Self::Lent { units },
             Allocation::Refused { in_ms } => Self::Refused { in_ms },
             Allocation::NotLending => Self::NotLending,
--- a/crates/trestle-wire/src/claim.rs
+++ b/crates/trestle-wire/src/claim.rs
@@ -1,59 +1,59 @@
-//! Claims of calls that may not be repeated.
+//! Claims on calls that must not run twice.
 
-/// The stored claim of one call.
+/// Stored claim on one call.
 #[trestle_macros::wire]
 pub struct WireClaim {
-    /// Identifies the attempt that may send the call.
+    /// Identifier of the attempt that may send the call.
     pub attempt: String,
     /// SHA-256 of method, path and body, in hexadecimal.
     pub digest: String,
-    /// What became of the call.
+    /// State of the call.
     pub state: WireClaimState,
 }
 
-/// What became of a claimed call.
+/// State of a claimed call.
 #[trestle_macros::wire]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum WireClaimState {
-    /// The attempt may have sent it.
+    /// The attempt may have sent the call.
     Claimed,
-    /// The attempt ended before it could send anything.
+    /// The attempt ended before it could send the call.
     NotRun,
-    /// It was answered.
+    /// The call was answered.
     Answered {
-        /// The answer.
+        /// Answer to the call.
         answer: WireKeptAnswer,
     },
 }
 
-/// An answer that is kept for callers who ask again.
+/// Answer that is kept for callers who repeat the call.
 #[trestle_macros::wire]
 pub struct WireKeptAnswer {
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Content type.
+    /// Content type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer, or the place where it is stored.
     pub body: WireAnswerBody,
 }
 
-/// Where the body of a kept answer is.
+/// Place where the body of a kept answer is stored.
 #[trestle_macros::wire]
 #[serde(tag = "kept", rename_all = "snake_case")]
 pub enum WireAnswerBody {
-    /// In the claim, in hexadecimal.
+    /// The claim itself holds the body, in hexadecimal.
     Here {
-        /// The body.
+        /// Hexadecimal digits of the body.
         hex: String,
     },
-    /// In the object store.
+    /// The object store holds the body.
     Object {
         /// Name of the object.
         name: String,
     },
 }
 
-/// Key of the row that holds the claim of a call.
+/// Returns the key of the row that holds the claim on a call.
 pub fn claim_key(service: &str, tenant: &str, idempotency_key: &str) -> String {
     format!("claim/{service}/{tenant}/{idempotency_key}")
 }
--- a/crates/trestle-wire/src/crashes.rs
+++ b/crates/trestle-wire/src/crashes.rs
@@ -1,48 +1,49 @@
-//! What daemons tell each other of requests under which endpoints ended.
+//! Requests under which endpoints crashed, as daemons report them to each other.
 
 use trestle_dispatch::{crashes::CrashReport, endpoint::Incarnation, fingerprint::Fingerprint};
 
-/// What is known of one request.
+/// Crashes of endpoints under one request.
 #[trestle_macros::wire]
 pub struct WireCrashReport {
-    /// The digest of the request.
+    /// Fingerprint of the request.
     pub request: [u8; 16],
-    /// The last endpoints that ended under it.
+    /// Last crashes of endpoints under the request.
     pub ends: Vec<WireEndpointCrash>,
-    /// Whether it had a whole answer.
+    /// Whether the request had a complete answer, which shows that it crashes no endpoint.
     pub is_served: bool,
 }
 
-/// The end of one start of an endpoint.
+/// Crash of one incarnation of an endpoint.
 #[trestle_macros::wire]
 pub struct WireEndpointCrash {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// When it had started, by its own clock.
+    /// Time at which the incarnation started, in Unix milliseconds on the endpoint's own clock.
     pub born_ms: u64,
-    /// Time since it ended.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
-/// All requests that are refused, as the answer to a daemon that lacks some.
+/// All restricted requests, which are rejected or run one attempt at a time; sent to a daemon that
+/// lacks some of them.
 #[trestle_macros::wire]
 pub struct WireRestrictedRequests {
-    /// The requests.
+    /// Reports on the requests.
     pub crashes: Vec<WireCrashReport>,
-    /// Number of the last change, to be told when asking again.
+    /// Number of the last change, which the daemon sends with its next sync request.
     pub number: u64,
 }
 
 impl From<CrashReport> for WireCrashReport {
     fn from(report: CrashReport) -> Self {
-        let ends = report.crashes.into_iter().map(|(incarnation, age_ms)| WireEndpointCrash {
+        let crashes = report.crashes.into_iter().map(|(incarnation, age_ms)| WireEndpointCrash {
             endpoint: incarnation.name.to_string(),
             born_ms: incarnation.started_unix_ms,
             age_ms,
         });
         Self {
             request: *report.request.as_bytes(),
-            ends: ends.collect(),
+            ends: crashes.collect(),
             is_served: report.is_served,
         }
     }
@@ -50,12 +51,15 @@
 
 impl From<WireCrashReport> for CrashReport {
     fn from(wire: WireCrashReport) -> Self {
-        let ends = wire.ends.into_iter().map(|end| {
-            (Incarnation { name: end.endpoint.into(), started_unix_ms: end.born_ms }, end.age_ms)
+        let crashes = wire.ends.into_iter().map(|crash| {
+            (
+                Incarnation { name: crash.endpoint.into(), started_unix_ms: crash.born_ms },
+                crash.age_ms,
+            )
         });
         Self {
             request: Fingerprint::from_bytes(wire.request),
-            crashes: ends.collect(),
+            crashes: crashes.collect(),
             is_served: wire.is_served,
         }
     }
--- a/crates/trestle-wire/src/departures.rs
+++ b/crates/trestle-wire/src/departures.rs
@@ -1,17 +1,17 @@
-//! What daemons tell each other of endpoints that left or are gone.
+//! Endpoints that are draining or gone, as daemons report them to each other.
 
 use trestle_dispatch::{departures::Departure, endpoint::Incarnation};
 
-/// One start of an endpoint that left or is gone.
+/// Incarnation of an endpoint that is draining or gone.
 #[trestle_macros::wire]
 pub struct WireDeparture {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// When it had started, by its own clock.
+    /// Time at which the incarnation started, in Unix milliseconds on the endpoint's own clock.
     pub born_ms: u64,
-    /// Whether it has said that it leaves.
+    /// Whether the endpoint has announced that it is draining.
     pub has_left: bool,
-    /// The number of its last message, if its entry was removed.
+    /// Number of the endpoint's last message; `None` while its entry in the list of endpoints exists.
     pub last_number: Option<u64>,
 }
 
--- a/crates/trestle-wire/src/error.rs
+++ b/crates/trestle-wire/src/error.rs
@@ -1,11 +1,11 @@
-//! The error of this crate.
+//! Error of this crate.
 
 use snafu::Snafu;
 
 /// The result of a conversion.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What came over the wire makes no sense.
+/// A received or stored value that cannot be converted.
 #[derive(Debug, Snafu)]
 pub struct Error(Inner);
 
--- a/crates/trestle-wire/src/lib.rs
+++ b/crates/trestle-wire/src/lib.rs
@@ -1,21 +1,23 @@
-//! Wire types, and the service between daemons.
+//! Wire types, and the services between daemons.
 //!
-//! Decisions use the types of `trestle-core`. What leaves the process has a
-//! type of its own here, with `From` into the wire and `TryFrom` out of it, so
-//! that the format on the wire can stay while the inner types change.
+//! Decisions use the types of `trestle-core` and `trestle-dispatch`. Each value that leaves the
+//! process has a type of its own here, with conversions from and to the inner type, so that the
+//! format on the wire can stay the same while inner types change.
 //!
-//! - [`table`] and [`row`]: the platform's table.
-//! - [`order`]: orders to engines, and their reports.
-//! - [`peer`]: what daemons ask each other.
-//! - [`replicas`]: what daemons and the leader tell each other.
-//! - [`departures`]: endpoints that left or are gone.
-//! - [`placements`]: where models are, by change.
-//! - [`relay`]: what the leader passes on of the store.
-//! - [`crashes`]: requests under which endpoints ended; [`trials`]: which attempt of one may run.
-//! - [`allocation`]: parts of the limits of teams.
-//! - [`claim`]: calls that may not be repeated.
-//! - [`admin`]: what operators ask a daemon.
-//! - [`usage_profile`]: what is kept of the times at which models are used.
+//! - [`table`] and [`row`]: the platform's table and list of VMs.
+//! - [`order`]: orders to engines, and the engine states that answer them.
+//! - [`peer`]: the service that grants permits, between daemons whose state is on the platform.
+//! - [`replicas`]: the service between daemons and leaders, where the state is in an outside store.
+//! - [`placements`]: changes of which engine can run which model, from leaders to daemons.
+//! - [`relay`]: contents of the store, from leaders to daemons.
+//! - [`departures`]: endpoints that are draining or gone.
+//! - [`crashes`]: requests under which endpoints crashed; [`trials`]: decisions on which attempt of
+//!   such a request may run.
+//! - [`allocation`]: allocations of team limits.
+//! - [`send_permits`]: send permits for endpoints that have announced limits.
+//! - [`claim`]: claims on calls that must not run twice.
+//! - [`admin`]: the state of a daemon, for operators.
+//! - [`usage_profile`]: stored times of day at which models are used.
 //! - [`headers`]: HTTP headers towards callers and endpoints.
 
 pub mod admin;
--- a/crates/trestle-wire/src/order.rs
+++ b/crates/trestle-wire/src/order.rs
@@ -1,90 +1,90 @@
-//! Orders to engines, and the state that answers them.
+//! Orders to engines, and the engine states that answer them.
 
 use std::collections::BTreeMap;
 use trestle_core::order::{ModelReport, Order, OrderKind, Phase, Report};
 
-/// An order to an engine.
+/// Order to an engine, as JSON.
 #[trestle_macros::wire]
 pub struct WireOrder {
-    /// Its fencing number.
+    /// Fencing number of the order.
     pub fence: u64,
-    /// What to do.
+    /// Action that the engine carries out.
     #[serde(flatten)]
     pub kind: WireOrderKind,
 }
 
-/// What an order asks for.
+/// Action of an order.
 #[trestle_macros::wire]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum WireOrderKind {
-    /// To take note of the fencing number.
+    /// Records the fencing number, so that orders with a smaller one are refused.
     Claim,
-    /// To load a model.
+    /// Loads a model.
     Load {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Memory it takes.
+        /// Memory that the model occupies while it is loaded.
         memory_bytes: u64,
     },
-    /// To unload a model.
+    /// Unloads a model.
     Unload {
-        /// The model.
+        /// Name of the model.
         model: String,
     },
 }
 
-/// An engine's answer to an order.
+/// Answer of an engine to an order.
 #[trestle_macros::wire]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum WireOrderAnswer {
-    /// Accepted.
+    /// The engine has accepted the order.
     Accepted {
-        /// The state right after.
+        /// State of the engine right after it accepted the order.
         report: WireReport,
     },
-    /// Refused for its fencing number.
+    /// The engine has refused the order because its fencing number is too small.
     Refused {
-        /// The largest number accepted so far.
+        /// Largest fencing number that the engine has accepted.
         fence: u64,
     },
-    /// Cannot be carried out.
+    /// The engine cannot carry out the order in its present state.
     Impossible {
-        /// The state that stands against it.
+        /// State of the engine that prevents the order.
         report: WireReport,
-        /// Why not.
+        /// Reason, for people.
         message: String,
     },
 }
 
-/// The state of an engine.
+/// State of an engine.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct WireReport {
-    /// Models that take memory.
+    /// Models that occupy memory, by name.
     pub models: BTreeMap<String, WireModelReport>,
 }
 
-/// The state of one model.
+/// State of one model at an engine.
 #[trestle_macros::wire]
 pub struct WireModelReport {
-    /// How far it is.
+    /// Phase of the model.
     pub phase: WirePhase,
-    /// Memory it takes.
+    /// Memory that the model occupies.
     pub memory_bytes: u64,
-    /// Requests that run on it.
+    /// Number of requests that run on the model.
     pub running: usize,
 }
 
-/// How far a model is.
+/// Phase of a model at an engine.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum WirePhase {
-    /// Takes memory, serves nothing yet.
+    /// The model occupies memory and serves no requests yet.
     Loading,
-    /// Serves.
+    /// The model serves requests.
     Ready,
-    /// Still takes memory, serves nothing any more.
+    /// The model serves no requests any more and still occupies memory.
     Unloading,
 }
 
--- a/crates/trestle-wire/src/peer.rs
+++ b/crates/trestle-wire/src/peer.rs
@@ -1,57 +1,60 @@
-//! What daemons ask each other.
+//! The service between daemons whose state is on the platform.
 
 use crate::row::WireMembership;
 use trestle_core::permit::{PermitAnswer, PermitRequest, Refusal, Ticket};
 
-/// The service of a daemon towards its peers.
+/// Service of a daemon towards its peers.
 #[tarpc::service]
 pub trait Peer {
-    /// Asks for a permit; the answer comes when the request may be sent, or must not.
+    /// Requests a permit; the answer comes once the permit is granted or refused.
     async fn ask(ask: WirePermitRequest) -> WirePermitAnswer;
     /// Gives a permit back.
     async fn release(endpoint: String, ticket: u64);
-    /// Asks whether this daemon owns the endpoint, or will as soon as it can.
+    /// Returns whether this daemon owns the endpoint, or will own it as soon as it can.
     async fn owns(endpoint: String) -> bool;
-    /// Tells that the owner of the endpoint has changed its row.
+    /// Reports that the owner of the endpoint has changed the endpoint's row.
     async fn row_changed(endpoint: String);
-    /// Asks for the members of the peer's own failure domain, as it has read them.
+    /// Returns the members of the peer's own failure domain as the peer has read them; `None` if it has
+    /// not.
     async fn members() -> Option<WireMembership>;
-    /// Asks for the file in force if it is newer than the version.
+    /// Returns the configuration file in force; `None` if it is not newer than the version.
     async fn config_after(version: u64) -> Option<WireConfig>;
 }
 
-/// A configuration file with its version.
+/// Configuration file with its version.
 #[trestle_macros::wire]
 pub struct WireConfig {
-    /// The version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The file, as the operator wrote it.
+    /// Text of the file, as the operator wrote it.
     pub text: String,
 }
 
-/// An ask for a permit.
+/// Request of an entry daemon for a permit.
 #[trestle_macros::wire]
 pub struct WirePermitRequest {
-    /// The VM of the entry daemon.
+    /// VM of the entry daemon.
     pub entry: String,
-    /// The endpoint the request would go to.
+    /// Endpoint to which the caller's request would be sent.
     pub endpoint: String,
-    /// The model it needs.
+    /// Model that the caller's request needs.
     pub model: String,
-    /// The caller's tenant.
+    /// Tenant of the caller.
     pub tenant: String,
-    /// Urgency of its class.
+    /// Urgency of the class of the caller's request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer is due.
+    /// Time until the whole answer to the caller is due, in milliseconds.
     pub due_in_ms: u64,
-    /// First ranks of the owner's chain that do not serve the entry daemon.
+    /// Number of ranks, from the start of the endpoint's chain, that do not serve the entry daemon.
     pub ranks_lost: u8,
-    /// Longest wait to accept.
+    /// Longest expected wait that the entry daemon accepts if the model is loaded, in milliseconds;
+    /// `None` for no limit.
     pub patience_ms: Option<u64>,
 }
 
 impl WirePermitRequest {
-    /// The ask as the owner takes it, at the owner's time.
+    /// Returns the permit request in the form that the owner handles; `now_ms` is the time of receipt
+    /// on the owner's clock.
     pub fn into_permit_request(self, ticket: Ticket, now_ms: u64) -> PermitRequest {
         PermitRequest {
             ticket,
@@ -69,55 +72,55 @@
     }
 }
 
-/// The answer to an ask.
+/// Answer to a permit request.
 #[trestle_macros::wire]
 pub enum WirePermitAnswer {
-    /// The request may be sent now.
+    /// The caller's request may be sent now.
     Granted {
-        /// Identifies the permit at this owner.
+        /// Identifier of the permit at this owner.
         ticket: u64,
-        /// Whether the request waited for the model to be loaded.
+        /// Whether the caller's request waited for the model to be loaded.
         cold: bool,
     },
-    /// The request cannot be served by its deadline.
+    /// The permit request is not admitted, or has been removed from the queue.
     Refused {
-        /// Why not.
+        /// Reason of the refusal.
         reason: WireRefusal,
-        /// When to come back.
+        /// Delay after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The wait is longer than accepted.
+    /// The expected wait is longer than the entry daemon accepts.
     Busy {
-        /// The expected wait.
+        /// Expected wait, in milliseconds.
         wait_ms: u64,
     },
     /// The model is not placed at this endpoint.
     NotPlaced,
     /// This daemon does not own the endpoint.
     NotOwner {
-        /// The rank that does, as far as known.
+        /// Rank of the owner in the chain; `None` if this daemon does not know it.
         owner_rank: Option<u8>,
     },
 }
 
-/// Why a request is refused.
+/// Reason of a refusal.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 pub enum WireRefusal {
-    /// The wait would end past the deadline.
+    /// The expected wait would end after the deadline.
     DeadlineTooClose,
-    /// Too many requests of the tenant wait already.
+    /// The maximum number of requests of the tenant already wait.
     TenantQueueFull,
-    /// The endpoint is leaving.
+    /// The endpoint is draining.
     Leaving,
     /// The endpoint does not answer its owner.
     EndpointSilent,
-    /// The deadline has passed while the request waited.
+    /// The request can no longer be served by its deadline, which it reached while waiting.
     DeadlinePassed,
 }
 
 impl WirePermitAnswer {
-    /// The wire form of an answer to the ask with the ticket.
+    /// Creates the wire form of the answer to the permit request with the ticket.
     pub fn new(ticket: Ticket, answer: PermitAnswer) -> Self {
         match answer {
             PermitAnswer::Granted { cold } => Self::Granted { ticket: ticket.0, cold },
--- a/crates/trestle-wire/src/placements.rs
+++ b/crates/trestle-wire/src/placements.rs
@@ -1,66 +1,70 @@
-//! What a leader tells of where models are: changes, with numbers in place of names.
+//! Changes of which engine can run which model, as leaders report them. Numbers stand for names
+//! that the receiver knows already.
 
 use trestle_dispatch::placement_log::{PlacementChange, PlacementDelta, PlacementPosition};
 
-/// How much of a leader's log a daemon has.
+/// Position of a daemon in a leader's placement log.
 #[trestle_macros::wire]
 #[derive(Copy, Default)]
 pub struct WirePlacementPosition {
-    /// The log, by its random number.
+    /// Random number that identifies the log.
     pub log: u64,
-    /// Changes that it has taken.
+    /// Number of changes that the daemon has applied.
     pub sequence: u64,
-    /// Names that it has numbers for.
+    /// Number of names that the daemon can look up by their numbers.
     pub names: u32,
 }
 
-/// What a daemon lacks of a log.
+/// Part of a placement log that a daemon lacks.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct WirePlacementDelta {
-    /// The log, by its random number.
+    /// Random number that identifies the log.
     pub log: u64,
-    /// The change up to which this leads.
+    /// Number of changes in the log up to the end of this part.
     pub sequence: u64,
-    /// Whether what is not named is not there.
+    /// Whether this is the complete state, so that engines, models and adapters not named in it are
+    /// absent.
     pub is_whole: bool,
-    /// The number of the first name.
+    /// Number of the first of `names`.
     pub first_name: u32,
-    /// Names, numbered one after the other.
+    /// Names with consecutive numbers.
     pub names: Vec<String>,
-    /// Changes, in their order.
+    /// Changes, in the order in which they apply.
     pub changes: Vec<WirePlacementChange>,
 }
 
-/// A change of what one engine can run: the numbers of the engine, the model and the adapter.
+/// Change of what one engine can run. The fields are the numbers of the engine, the model and the
+/// adapter.
 #[trestle_macros::wire]
 #[derive(Copy)]
 pub enum WirePlacementChange {
-    /// An engine is there.
+    /// An engine is listed.
     Listed(u32),
-    /// It is gone.
+    /// An engine is gone, with all models that it held.
     Gone(u32),
-    /// It can run a model.
+    /// An engine can run a model.
     Model(u32, u32),
-    /// It no longer can.
+    /// An engine can no longer run a model.
     NoModel(u32, u32),
-    /// It can run an adapter.
+    /// An engine can run an adapter of a model.
     Adapter(u32, u32, u32),
-    /// It no longer can.
+    /// An engine can no longer run an adapter of a model.
     NoAdapter(u32, u32, u32),
 }
 
-/// A name, by its number where the receiver's log has one.
+/// Name, or the number that stands for it in the log of the receiver.
 #[trestle_macros::wire]
 pub enum WireName {
-    /// Its number.
+    /// Number of the name.
     Number(u32),
-    /// The name itself.
+    /// Name without a number.
     Name(String),
 }
 
 impl WireName {
-    /// The wire form of a name that may have a number.
+    /// Creates the wire form of a name; `number` returns the number that stands for it, if there is
+    /// one.
     pub fn new(name: &str, number: impl Fn(&str) -> Option<u32>) -> Self {
         match number(name) {
             Some(number) => Self::Number(number),
--- a/crates/trestle-wire/src/relay.rs
+++ b/crates/trestle-wire/src/relay.rs
@@ -1,4 +1,5 @@
-//! What the leader passes on of the store, so that others need not follow it.
+//! Contents of the store that leaders relay to daemons, so that these need not follow the store
+//! themselves.
 
 use crate::{departures::WireDeparture, placements::WirePlacementPosition};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
@@ -9,98 +10,101 @@
     listing::{ListUpdate, ListedEntry},
 };
 
-/// What a daemon already has of the store.
+/// Contents of the store and of a leader that a daemon has already.
 #[trestle_macros::wire]
 pub struct WireSyncPosition {
-    /// The version of its list of endpoints; 0 if it has none.
+    /// Version of the daemon's list of endpoints; 0 if it has none.
     pub endpoints: u64,
-    /// The configuration that it has in force; 0 if none is.
+    /// Version of the configuration in force at the daemon; 0 if none is.
     pub config: u64,
-    /// Number of the last change that it has heard of requests that are refused, from this leader.
+    /// Number of the last change of restricted requests that the daemon has received from this leader.
     pub refused: u64,
-    /// Whether it has heard from this leader of endpoints that left or are gone.
+    /// Whether the daemon has received the departures of endpoints from this leader.
     pub departures: bool,
-    /// How much it has of the leader's logs, by service.
+    /// Positions of the daemon in the leader's placement logs, by service.
     pub placements: BTreeMap<String, WirePlacementPosition>,
 }
 
-/// What has changed since.
+/// Changes of the store since the position that a daemon has reported.
 #[trestle_macros::wire]
 pub struct WireRelay {
     /// Changes of the list of endpoints.
     pub endpoints: WireListUpdate,
-    /// Endpoints that left or are gone, for a daemon that asks for the first time.
+    /// Endpoints that are draining or gone; empty unless the daemon queries this leader for the first
+    /// time.
     pub departures: Vec<WireDeparture>,
-    /// The configuration, if it is newer.
+    /// Configuration; `None` if the daemon has the newest.
     pub config: Option<WireConfigUpdate>,
-    /// Time since the store last answered the sender about both.
+    /// Time since the store last answered the sender about both the list and the configuration, in
+    /// milliseconds.
     pub age_ms: u64,
-    /// Time since the sender asked the question by whose answer its configuration was the
-    /// newest, where teams' keys depend on it.
+    /// Time since the sender sent the query whose answer proved its configuration to be the newest, in
+    /// milliseconds; `None` if the configuration has no teams, whose keys depend on this proof.
     pub config_age_ms: Option<u64>,
 }
 
-/// What a daemon is told of the configuration.
+/// Newer configuration, complete or as changes.
 #[trestle_macros::wire]
 pub enum WireConfigUpdate {
-    /// Its text, packed.
+    /// Complete text, compressed.
     Whole(Vec<u8>),
-    /// What has changed since a version.
+    /// Changes since a version that the daemon has.
     Changes {
-        /// That version.
+        /// Version that the changes apply to.
         from: u64,
-        /// What makes the new text out of it.
+        /// Pieces that make up the new text, in their order.
         pieces: Vec<WireConfigPiece>,
     },
 }
 
-/// One part of a text.
+/// Piece of a new text.
 #[trestle_macros::wire]
 pub enum WireConfigPiece {
-    /// Bytes of the old text: where they begin, and how many.
+    /// Bytes copied from the old text: their offset and their number.
     Kept(usize, usize),
-    /// Bytes that are new, packed.
+    /// New bytes, compressed.
     New(Vec<u8>),
 }
 
-/// Changes of the list of endpoints.
+/// Update of the list of endpoints.
 #[trestle_macros::wire]
 pub struct WireListUpdate {
-    /// Whether what is not named does not exist.
+    /// Whether this is the complete list, so that endpoints not named in it do not exist.
     pub is_whole: bool,
-    /// Entries that were written, with their versions.
+    /// Entries that were written, each with its version.
     pub written: Vec<(WireListedEndpoint, u64)>,
-    /// Entries that were removed, with the versions of their removal.
+    /// Keys of the entries that were removed, each with the version of its removal.
     pub removed: Vec<(String, u64)>,
-    /// The version that this leads up to.
+    /// Version of the list after this update.
     pub version: u64,
 }
 
-/// One live endpoint, without what it holds and the copies of weights near it: leaders read
-/// those from the store, and tell where models are by their logs.
+/// Live endpoint without its models and the copies of weights on its host. Leaders read those from
+/// the store, and report where models are by their placement logs.
 #[trestle_macros::wire]
 pub struct WireListedEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// When it started, by its own clock.
+    /// Time at which the endpoint started, in Unix milliseconds on its own clock; 0 if it does not
+    /// report one.
     pub born_ms: u64,
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: String,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the endpoint runs at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the endpoint is draining.
     pub is_leaving: bool,
-    /// Number of the message by which it entered this.
+    /// Number of the endpoint's message that reported this entry; later messages have higher numbers.
     pub entry_number: u64,
 }
 
 impl From<ConfigUpdate> for WireConfigUpdate {
-    fn from(news: ConfigUpdate) -> Self {
-        match news {
+    fn from(update: ConfigUpdate) -> Self {
+        match update {
             ConfigUpdate::Whole(text) => Self::Whole(text.as_bytes().to_vec()),
             ConfigUpdate::Changes { from, pieces } => {
                 let pieces = pieces.iter().cloned().map(WireConfigPiece::from).collect();
@@ -126,7 +130,7 @@
     fn from(piece: CompressedPiece) -> Self {
         match piece {
             CompressedPiece::Kept(from, length) => Self::Kept(from, length),
-            CompressedPiece::New(packed) => Self::New(packed.as_bytes().to_vec()),
+            CompressedPiece::New(compressed) => Self::New(compressed.as_bytes().to_vec()),
         }
     }
 }
@@ -141,15 +145,15 @@
 }
 
 impl From<ListUpdate> for WireListUpdate {
-    fn from(news: ListUpdate) -> Self {
-        let written = news.written.into_iter();
+    fn from(update: ListUpdate) -> Self {
+        let written = update.written.into_iter();
         let written =
             written.map(|entry| (WireListedEndpoint::from(entry.endpoint), entry.version));
         Self {
-            is_whole: news.is_whole,
+            is_whole: update.is_whole,
             written: written.collect(),
-            removed: news.removed,
-            version: news.version,
+            removed: update.removed,
+            version: update.version,
         }
     }
 }
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -1,4 +1,4 @@
-//! What daemons and the leader tell each other.
+//! The service between daemons and leaders, where the state is in an outside store.
 
 use crate::{
     allocation::{WireAllocation, WireAllocationRequest},
@@ -22,174 +22,181 @@
     replicas::{EngineSummary, ReplicaView},
 };
 
-/// The service between daemons and the leader.
+/// Service of a leader towards daemons and other leaders.
 #[tarpc::service]
 pub trait Replicas {
-    /// Tells what callers ask for, and learns where models are.
+    /// Reports the demand of callers, and returns where models are loaded.
     async fn sync(asking: WireSyncRequest) -> WireSyncResponse;
-    /// Asks whether an attempt of a request that ended endpoints may run, or says that it has ended.
+    /// Requests permission for an attempt of a request that may crash endpoints, or reports the
+    /// attempt's end.
     async fn try_out(trial: WireTrial) -> WireTrialAnswer;
-    /// Asks for a part of a team's limit.
+    /// Requests units of a team's limit.
     async fn lend(borrowing: WireAllocationRequest) -> WireAllocation;
-    /// Asks for a place at an endpoint that has named a limit.
+    /// Requests a send permit for an endpoint that has announced a limit.
     async fn lend_place(asking: WireSendPermitRequest) -> WireSendPermit;
 }
 
-/// What a daemon tells a leader, and what it has heard already.
+/// Report of a daemon to a leader, with the position up to which the daemon has the leader's data.
 #[trestle_macros::wire]
 pub struct WireSyncRequest {
-    /// The VM that asks.
+    /// VM of the daemon.
     pub vm: String,
-    /// The group whose leader is asked.
+    /// Group whose leader is queried.
     pub group: String,
-    /// Whether it asks as the leader of other groups, with what its own daemons have told.
+    /// Whether the daemon reports as the leader of other groups, for the daemons that sync with it.
     pub is_leader: bool,
-    /// Daemons that ask it, where it leads.
+    /// Number of daemons that sync with the reporting daemon, if it leads.
     pub members: u32,
-    /// What is asked for, by service.
+    /// Demand reports, one per service.
     pub digests: Vec<WireDemandReport>,
-    /// What it has noted of requests under which endpoints ended, since it last told.
+    /// Requests under which endpoints crashed, as recorded since the last report.
     pub crashes: Vec<WireCrashReport>,
-    /// What it has.
+    /// Contents of the store and of the leader that the daemon has already.
     pub have: WireSyncPosition,
 }
 
-/// What the leader answers.
+/// Answer of a leader to a sync request.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct WireSyncResponse {
-    /// Leases as it last knew them: those that it holds, and that of the group asked for.
+    /// Leases as the answering daemon last knew them: those that it holds, and that of the requested
+    /// group.
     pub leases: Vec<WireGroupLease>,
-    /// Whether it leads.
+    /// Whether the answering daemon leads.
     pub is_leader: bool,
-    /// The groups whose engines it orders.
+    /// Groups to whose engines the answering daemon sends orders.
     pub led: Vec<String>,
-    /// Daemons that ask it; 0 while it cannot tell.
+    /// Number of daemons that sync with the leader; 0 while it is unknown.
     pub members: u32,
-    /// Said of groups for which it has stepped down.
+    /// Resignations of the answering daemon, by group.
     pub resigned: Vec<(String, WireResignation)>,
-    /// What it knows, by service.
+    /// State of each service as the leader knows it, by name.
     pub views: BTreeMap<String, WireServiceView>,
-    /// Requests that are refused, if the asker lacks some.
+    /// Restricted requests; `None` if the requesting daemon knows all of them.
     pub refused: Option<WireRestrictedRequests>,
-    /// What has changed in the store since what the asker has.
+    /// Changes of the store that the requesting daemon lacks; `None` for a leader, which follows the
+    /// store itself, and if the answering daemon does not lead.
     pub relay: Option<WireRelay>,
 }
 
-/// The lease of one group.
+/// Lease of one group.
 #[trestle_macros::wire]
 pub struct WireGroupLease {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// The row.
+    /// Content of the lease's row.
     pub row: WireLeaseRow,
-    /// Its version.
+    /// Version of the row.
     pub version: u64,
 }
 
-/// What a leader says that has stepped down.
+/// Resignation of a leader that has stepped down.
 #[trestle_macros::wire]
 pub struct WireResignation {
-    /// The fencing number under which it gives no order any more.
+    /// Fencing number under which the former leader sends no more orders.
     pub token: u64,
-    /// Time for which nobody may give any order.
+    /// Time for which no daemon may send any order, in milliseconds.
     pub quiet_for_ms: u64,
-    /// Time after which its orders no longer matter anywhere.
+    /// Time after which the former leader's orders have no effect anywhere any more, in milliseconds.
     pub settled_for_ms: u64,
-    /// For how long each engine must be left alone, in ms.
+    /// Time for which each engine must get no order, in milliseconds.
     pub engines: BTreeMap<String, u64>,
 }
 
-/// The lease on giving orders, as the store's row holds it.
+/// Row of the lease that permits its holder to send orders.
 #[trestle_macros::wire]
 pub struct WireLeaseRow {
-    /// The machine that holds it.
+    /// VM that holds the lease.
     pub holder: String,
-    /// Where its daemon answers others.
+    /// Address at which the holder's daemon serves other daemons.
     pub address: SocketAddr,
-    /// Processor of that machine, in thousandths of a core.
+    /// Processor of the holder's VM, in thousandths of a core.
     #[serde(default)]
     pub millicores: u32,
-    /// The start of that daemon.
+    /// Random number that identifies the start of the holder's daemon.
     pub incarnation: u64,
-    /// The fencing number.
+    /// Fencing number; grows with each holder.
     pub token: u64,
-    /// Renewals of this holder.
+    /// Number of renewals by this holder.
     pub renewals: u64,
-    /// Whether the quiet time after the holder before is over.
+    /// Whether the quiet time after the previous holder is over.
     pub has_begun: bool,
-    /// Whether it has been given up.
+    /// Whether the holder has released the lease.
     pub is_released: bool,
-    /// Daemons that ask its holder.
+    /// Number of daemons that sync with the holder.
     #[serde(default)]
     pub daemons: u32,
-    /// Requests that are refused, as far as they find room.
+    /// Requests rejected because endpoints crashed under them, as many as fit into the row.
     #[serde(default)]
     pub refused: Vec<WireCrashReport>,
-    /// Endpoints that left or are gone, as far as they find room.
+    /// Endpoints that are draining or gone, as many as fit into the row.
     #[serde(default)]
     pub departures: Vec<WireDeparture>,
 }
 
-/// What one daemon tells of one service.
+/// Demand of one daemon's callers for one service.
 #[trestle_macros::wire]
 pub struct WireDemandReport {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Number of the digest.
+    /// Number of the report; each daemon counts its own.
     pub number: u64,
-    /// Requests that arrived, by model.
+    /// Number of requests that arrived since the last report, by model.
     pub arrivals: Vec<(String, u32)>,
-    /// All that arrived until now, for a leader that has not heard of it: model, weight in
-    /// thousandths, time since the last in ms.
+    /// Arrivals until now, for a leader that does not know them: the model, the weight of its arrivals
+    /// in thousandths, and the time since the last one in milliseconds. `None` if the leader knows
+    /// them.
     pub past: Option<Vec<(String, u32, u64)>>,
-    /// Requests that wait.
+    /// Requests that wait for a model or an adapter.
     pub waiting: Vec<WireWaiting>,
-    /// The log whose numbers stand for names below.
+    /// Random number that identifies the placement log whose numbers stand for names below.
     pub log: u64,
-    /// Requests that run, by engine and model.
+    /// Number of running requests, by engine and model.
     pub running: Vec<(WireName, Vec<(WireName, u32)>)>,
-    /// Adapters in use, by engine, with their models.
+    /// Adapters in use, by engine, each after its model.
     pub adapters: Vec<(WireName, Vec<(WireName, WireName)>)>,
-    /// Requests that run at other engines, by model.
+    /// Number of requests that run at engines not named in `running`, by model.
     pub running_elsewhere: Vec<(WireName, u32)>,
 }
 
-/// Requests that wait for the same thing.
+/// Requests that wait for the same model or adapter.
 #[trestle_macros::wire]
 pub struct WireWaiting {
-    /// Urgency; 0 goes first.
+    /// Urgency of the most urgent request; 0 is the most urgent.
     pub priority: u8,
-    /// Time until the first of them is no longer on time.
+    /// Time until the first of the requests is no longer on time, in milliseconds.
     pub due_in_ms: u64,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The adapter.
+    /// Name of the adapter; `None` if the requests wait for the model itself.
     pub adapter: Option<String>,
-    /// How many.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// What the leader knows of one service.
+/// State of one service as the leader knows it.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct WireServiceView {
-    /// What the asker lacks of where models are.
+    /// Part of the placement log that the requesting daemon lacks.
     pub placements: WirePlacementDelta,
-    /// Requests that run at each engine, in the order of the engines' numbers.
+    /// Number of requests that run at each engine, in the order of the engines' numbers in the
+    /// placement log; engines past the end have none.
     pub running: Vec<u32>,
-    /// When models, or their adapters, will be ready.
+    /// Models and adapters that will be ready: the model, the adapter, and the time until then in
+    /// milliseconds.
     pub ready_in_ms: Vec<(String, Option<String>, u64)>,
-    /// Daemons that share budgets; 0 while they have not been counted.
+    /// Number of daemons that share budgets; 0 while they have not been counted.
     pub daemons: u32,
-    /// Daemons that ask this leader.
+    /// Number of daemons that sync with this leader.
     pub askers: u32,
-    /// Number of the asker's last digest that the plan has looked at.
+    /// Number of the requesting daemon's last demand report that the leader's plan has considered.
     pub planned: u64,
 }
 
 impl WireResignation {
-    /// The wire form of what a leader says that has stepped down.
+    /// Creates the wire form of a resignation; `engines` holds the time, in milliseconds, for which
+    /// each engine must get no order.
     pub fn new(resignation: Resignation, engines: BTreeMap<EndpointName, u64>) -> Self {
         Self {
             token: resignation.token,
@@ -249,10 +256,11 @@
 }
 
 impl WireDemandReport {
-    /// The wire form of what one daemon tells of a service, with the numbers of a log.
+    /// Creates the wire form of a demand report. `log` is the random number that identifies a placement
+    /// log, and `number` returns the number that stands for a name in it.
     pub fn new(
         service: &ServiceName,
-        digest: DemandReport,
+        report: DemandReport,
         log: u64,
         number: impl Fn(&str) -> Option<u32>,
     ) -> Self {
@@ -260,11 +268,11 @@
         let counted = |models: BTreeMap<ModelName, u32>| {
             models.into_iter().map(|(model, count)| (named(model.as_str()), count)).collect()
         };
-        let running = digest
+        let running = report
             .running
             .into_iter()
             .map(|(endpoint, models)| (named(endpoint.as_str()), counted(models)));
-        let adapters = digest.adapters_in_use.into_iter().map(|(endpoint, keys)| {
+        let adapters = report.adapters_in_use.into_iter().map(|(endpoint, keys)| {
             let keys = keys
                 .iter()
                 .map(|(model, adapter)| (named(model.as_str()), named(adapter.as_str())));
@@ -272,19 +280,20 @@
         });
         Self {
             service: service.to_string(),
-            number: digest.number,
-            arrivals: digest.arrivals.into_iter().map(|(m, n)| (m.to_string(), n)).collect(),
-            past: digest.past.map(|past| past.into_iter().map(to_past).collect()),
-            waiting: digest.waiting.into_iter().map(WireWaiting::from).collect(),
+            number: report.number,
+            arrivals: report.arrivals.into_iter().map(|(m, n)| (m.to_string(), n)).collect(),
+            past: report.past.map(|past| past.into_iter().map(to_past).collect()),
+            waiting: report.waiting.into_iter().map(WireWaiting::from).collect(),
             log,
             running: running.collect(),
             adapters: adapters.collect(),
-            running_elsewhere: counted(digest.running_elsewhere),
+            running_elsewhere: counted(report.running_elsewhere),
         }
     }
 
-    /// What it says, given the names that numbers stand for. What has a number without a name
-    /// is left out: the asker learnt it from another leader, and tells it anew next time.
+    /// Returns the service and the demand report; `name` returns the name that a number stands for.
+    /// Entries whose numbers have no name are left out: the sender received the numbers from another
+    /// leader, and reports the entries again next time.
     pub fn into_report(
         self,
         name: impl Fn(u32) -> Option<Arc<str>>,
@@ -308,7 +317,7 @@
             });
             Some((EndpointName::from(named(endpoint)?), keys.collect()))
         });
-        let digest = DemandReport {
+        let report = DemandReport {
             number: self.number,
             arrivals: self.arrivals.into_iter().map(|(m, n)| (ModelName::from(m), n)).collect(),
             past: self.past.map(|past| past.into_iter().map(from_past).collect()),
@@ -317,7 +326,7 @@
             adapters_in_use: adapters.collect(),
             running_elsewhere: counted(self.running_elsewhere),
         };
-        (self.service.into(), digest)
+        (self.service.into(), report)
     }
 }
 
@@ -346,7 +355,8 @@
 }
 
 impl WireServiceView {
-    /// What it says, given where models are by the asker's copy of the leader's log.
+    /// Returns the view of the service; `placements` is the requesting daemon's copy of the leader's
+    /// placement log.
     pub fn into_view(self, placements: &PlacementMirror) -> ReplicaView {
         let engines = placements.engines().zip(self.running.iter().chain(iter::repeat(&0)));
         let engines = engines.map(|((name, holds), running)| {
@@ -361,7 +371,7 @@
     }
 }
 
-/// The wire form of when something will be ready.
+/// Returns the wire form of the time, in milliseconds, until a model or adapter will be ready.
 pub fn to_ready((loadable, ms): (&Loadable, &u64)) -> (String, Option<String>, u64) {
     (loadable.model.to_string(), loadable.adapter.as_ref().map(ToString::to_string), *ms)
 }
--- a/crates/trestle-wire/src/row.rs
+++ b/crates/trestle-wire/src/row.rs
@@ -1,4 +1,4 @@
-//! Rows of the table as they are stored.
+//! Rows of the platform's table in their stored form.
 
 use crate::{
     error::{ContentSnafu, Inner, Result},
@@ -17,7 +17,7 @@
     row::{Row, RowKey, Rows, Txn, Versioned},
 };
 
-/// A stored membership row.
+/// Stored membership row of a failure domain.
 #[trestle_macros::wire]
 pub struct WireMembership {
     epoch: u64,
@@ -26,7 +26,7 @@
     unsettled: BTreeSet<String>,
 }
 
-/// A stored member.
+/// Stored member of a failure domain.
 #[trestle_macros::wire]
 pub struct WireMember {
     address: String,
@@ -35,20 +35,20 @@
     is_adopter: bool,
 }
 
-/// A stored lease.
+/// Stored lease of a member.
 #[trestle_macros::wire]
 pub struct WireMemberLease {
     renewals: u64,
     epoch: u64,
 }
 
-/// A stored endpoint row.
+/// Stored row of the placements at an endpoint.
 #[trestle_macros::wire]
 pub struct WireEndpointRow {
     placed: BTreeMap<String, WirePlacement>,
 }
 
-/// A stored placement.
+/// Stored placement of a model at an endpoint.
 #[trestle_macros::wire]
 pub struct WirePlacement {
     memory_bytes: u64,
@@ -56,20 +56,20 @@
     retiring: Option<WireRetiring>,
 }
 
-/// A stored mark of retirement.
+/// Stored retirement of a placement.
 #[trestle_macros::wire]
 pub struct WireRetiring {
     epoch: u64,
     waiting_for: BTreeSet<String>,
 }
 
-/// A stored model row.
+/// Stored row of the replicas of a model.
 #[trestle_macros::wire]
 pub struct WireModel {
     replicas: BTreeSet<String>,
 }
 
-/// The text of a row's key.
+/// Returns the text form of a row's key.
 pub fn key_to_string(key: &RowKey) -> String {
     match key {
         RowKey::Membership(domain) => format!("domain/{domain}"),
@@ -79,11 +79,11 @@
     }
 }
 
-/// The key that a text stands for.
+/// Parses the text form of a row's key.
 ///
 /// # Errors
 ///
-/// Fails if this version knows no such key.
+/// Fails if the text is not the key of a kind of row that this version knows.
 pub fn key_from_str(text: &str) -> Result<RowKey> {
     let unknown = || Inner::Key { key: text.to_owned() };
     let (kind, name) = text.split_once('/').ok_or_else(unknown)?;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The stored form of a row.
+/// Returns the stored form of a row.
 ///
 /// # Panics
 ///
@@ -113,11 +113,11 @@
     }
 }
 
-/// The row that a stored form stands for.
+/// Parses the stored form of a row.
 ///
 /// # Errors
 ///
-/// Fails if the stored form is not what belongs under the key.
+/// Fails if the value does not have the form of the rows that belong to the key.
 pub fn row_from_value(key: &RowKey, value: &Value) -> Result<Row> {
     Ok(match key {
         RowKey::Membership(_) => Row::Membership(parse::<WireMembership>(key, value)?.into()),
@@ -148,7 +148,7 @@
     }
 }
 
-/// Rows that came over the wire.
+/// Rows of a [`ReadResponse`], converted from their stored form.
 pub struct CoreRows(pub Rows);
 
 impl From<&Txn> for CommitRequest {
--- a/crates/trestle-wire/src/send_permits.rs
+++ b/crates/trestle-wire/src/send_permits.rs
@@ -1,47 +1,48 @@
-//! What daemons ask of leaders for endpoints that have named limits.
+//! Send permits for endpoints that have announced limits, as daemons request them from leaders.
 
 use trestle_dispatch::endpoint_limits::{ObservedLimit, SendPermit};
 
-/// A question for a place at an endpoint: whether one request may be sent there.
+/// Request for a send permit, which allows one request to be sent to an endpoint.
 #[trestle_macros::wire]
 pub struct WireSendPermitRequest {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// When this life of it started, by its own clock.
+    /// Time at which this incarnation of the endpoint started, in Unix milliseconds on its own clock.
     pub born_ms: u64,
-    /// The group that it belongs to.
+    /// Group that the endpoint belongs to.
     pub group: String,
-    /// Its limit, in requests in 1,000 s.
+    /// Limit that the endpoint has announced, in requests per 1,000 s.
     pub per_ks: u64,
-    /// How long ago an answer last named it.
+    /// Time since an answer last announced the limit, in milliseconds.
     pub heard_ago_ms: u64,
-    /// Answers since that did not.
+    /// Number of answers since then that announced no limit.
     pub silent: u32,
-    /// How long ago the last of these came.
+    /// Time since the last answer without a limit, in milliseconds.
     pub silent_ago_ms: u64,
-    /// Whether a leader of another group passes the question on.
+    /// Whether the leader of another group forwards this request, so that it is not forwarded again.
     pub is_passed_on: bool,
 }
 
-/// What becomes of it.
+/// Answer to a request for a send permit.
 #[trestle_macros::wire]
 #[derive(Copy)]
 pub enum WireSendPermit {
-    /// One request may be sent.
+    /// The permit is granted: one request may be sent.
     Lent,
-    /// There is no place.
+    /// The limit is used up.
     Refused {
-        /// Time until there will be one.
+        /// Time until a permit will be available, in milliseconds.
         in_ms: u64,
     },
-    /// The endpoint names no limit any more.
+    /// The endpoint no longer announces a limit.
     Lifted,
-    /// The one that was asked does not lead the endpoint's group.
+    /// The daemon that received the request does not lead the endpoint's group.
     NotLending,
 }
 
 impl WireSendPermitRequest {
-    /// What the one who asks has heard of the limit, on the clock of the one who is asked.
+    /// Returns the limit as the requesting daemon has observed it, with times on the clock of the
+    /// receiving daemon.
     pub fn observed_limit(&self, now_ms: u64) -> ObservedLimit {
         ObservedLimit {
             per_ks: self.per_ks,
@@ -53,8 +54,8 @@
 }
 
 impl From<SendPermit> for WireSendPermit {
-    fn from(place: SendPermit) -> Self {
-        match place {
+    fn from(permit: SendPermit) -> Self {
+        match permit {
             SendPermit::Lent => Self::Lent,
             SendPermit::Refused { in_ms } => Self::Refused { in_ms },
             SendPermit::Lifted => Self::Lifted,
--- a/crates/trestle-wire/src/table.rs
+++ b/crates/trestle-wire/src/table.rs
@@ -1,92 +1,92 @@
-//! Requests to the platform's table.
+//! Messages of the platform: its table of rows and its list of VMs.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Asks for rows.
+/// Request to read rows.
 #[trestle_macros::wire]
 pub struct ReadRequest {
     /// Keys of the rows.
     pub keys: Vec<String>,
 }
 
-/// Rows that were read; rows that were never written are left out.
+/// Response to a [`ReadRequest`]; rows that were never written are left out.
 #[trestle_macros::wire]
 pub struct ReadResponse {
     /// Rows by key.
     pub rows: BTreeMap<String, WireRow>,
 }
 
-/// A row with its version.
+/// Row with its version.
 #[trestle_macros::wire]
 pub struct WireRow {
-    /// Grows with each write.
+    /// Version of the row; grows with each write.
     pub version: u64,
-    /// `null` for a deleted row.
+    /// Content of the row; `null` if the row was deleted.
     pub value: Option<Value>,
 }
 
-/// Asks for writes that take effect together.
+/// Request for writes that take effect together.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct CommitRequest {
-    /// Versions that rows must still have, 0 for rows that were never written.
+    /// Versions that rows must still have; 0 stands for a row that was never written.
     pub checks: BTreeMap<String, u64>,
-    /// New contents, `null` to delete.
+    /// New contents of rows; `null` deletes a row.
     pub writes: BTreeMap<String, Option<Value>>,
 }
 
-/// Whether the writes took effect.
+/// Response to a [`CommitRequest`].
 #[trestle_macros::wire]
 pub struct CommitResponse {
-    /// Whether they did.
+    /// Whether the writes took effect.
     pub committed: bool,
-    /// Rows that had another version.
+    /// Keys of the rows that had another version than the request expected.
     #[serde(default)]
     pub conflicts: Vec<String>,
 }
 
-/// The head of the configuration.
+/// Row that names the configuration in force.
 #[trestle_macros::wire]
 pub struct ConfigHead {
-    /// Version in force.
+    /// Version of the configuration.
     pub version: u64,
-    /// Identifies the apply that made it.
+    /// Identifier of the apply that wrote this version.
     pub apply_id: String,
-    /// SHA-256 of the file, in hexadecimal.
+    /// SHA-256 of the configuration file, in hexadecimal.
     pub sha256: String,
-    /// The operator who applied it.
+    /// Operator who applied the version.
     pub author: String,
 }
 
 /// Key of the row that holds the [`ConfigHead`].
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Key of the object that holds the file of an apply.
+/// Returns the name of the object that holds the configuration file of an apply.
 pub fn config_object(apply_id: &str) -> String {
     format!("config-{apply_id}")
 }
 
-/// Key of the row that keeps the head of a version, for the history.
+/// Returns the key of the row that keeps the [`ConfigHead`] of a version, for the history.
 pub fn config_history_key(version: u64) -> String {
     format!("config/history/{version}")
 }
 
-/// The platform's list of VMs.
+/// List of VMs of the platform.
 #[trestle_macros::wire]
 pub struct VmList {
-    /// State by name.
+    /// States of the VMs, by name.
     pub vms: BTreeMap<String, WireVmState>,
 }
 
-/// The state of a VM.
+/// State of a VM.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum WireVmState {
-    /// In use.
+    /// The VM is in use.
     Live,
-    /// About to be taken away.
+    /// The VM is draining: the platform is about to remove it.
     Leaving,
 }
 
--- a/crates/trestle-wire/src/trials.rs
+++ b/crates/trestle-wire/src/trials.rs
@@ -1,31 +1,33 @@
-//! What daemons ask of requests under which endpoints ended.
+//! Attempts of requests under which endpoints may have crashed. Leaders decide which attempt may
+//! run, so that only one runs at a time.
 
-/// An attempt of such a request.
+/// Attempt of a request that may crash endpoints: a question whether it may run, or the report of
+/// its end.
 #[trestle_macros::wire]
 pub struct WireTrial {
-    /// The VM where it would run, or has.
+    /// VM whose daemon makes the attempt.
     pub vm: String,
-    /// The digest of the request.
+    /// Fingerprint of the request.
     pub request: [u8; 16],
-    /// A number that no other attempt of this VM has.
+    /// Number of the attempt, unique among the attempts of this VM.
     pub number: u64,
-    /// Whether it has ended, no endpoint with it.
+    /// Whether the attempt has ended without a crash of an endpoint.
     pub has_ended: bool,
-    /// Whether another leader passes this on, so that it goes no further.
+    /// Whether another leader forwards this message, so that it is not forwarded again.
     pub is_passed_on: bool,
 }
 
-/// What becomes of it.
+/// Decision on an attempt.
 #[trestle_macros::wire]
 #[derive(Copy)]
 pub enum WireTrialAnswer {
-    /// It may run.
+    /// The attempt may run.
     Runs,
-    /// Another one runs.
+    /// Another attempt of the request may be running.
     Waits {
-        /// Time after which it may be asked for again, at the latest.
+        /// Time after which the attempt may be requested again, in milliseconds.
         for_ms: u64,
     },
-    /// The one that was asked does not decide on it, and does not know who does.
+    /// The receiving daemon does not decide on the request, and does not know which leader does.
     Undecided,
 }
--- a/crates/trestle-wire/src/usage_profile.rs
+++ b/crates/trestle-wire/src/usage_profile.rs
@@ -1,29 +1,31 @@
-//! Habits of models, as they are kept in the object store.
+//! Usage profiles of models, as they are kept in the object store.
 
 use std::collections::BTreeMap;
 use trestle_core::{names::ModelName, usage_profile::UsageProfile};
 
-/// Habits of the models at one endpoint.
+/// Usage profiles of the models at one endpoint.
 #[trestle_macros::wire]
 pub struct WireUsageProfiles {
-    /// Shares of days in thousandths, for each bin of working days and then weekends.
+    /// Shares of days with requests, in thousandths, by model: one for each bin of a working day,
+    /// then one for each bin of a weekend day.
     pub models: BTreeMap<String, Vec<u16>>,
 }
 
-/// Name of the object that keeps the habits of the models at an endpoint.
+/// Returns the name of the object that keeps the usage profiles of the models at an endpoint.
 pub fn usage_profiles_object(endpoint: &str) -> String {
     format!("habits-{endpoint}")
 }
 
 impl From<&BTreeMap<ModelName, UsageProfile>> for WireUsageProfiles {
-    fn from(habits: &BTreeMap<ModelName, UsageProfile>) -> Self {
-        let models = habits.iter().map(|(model, habits)| (model.to_string(), habits.to_shares()));
+    fn from(profiles: &BTreeMap<ModelName, UsageProfile>) -> Self {
+        let models =
+            profiles.iter().map(|(model, profile)| (model.to_string(), profile.to_shares()));
         Self { models: models.collect() }
     }
 }
 
 impl From<WireUsageProfiles> for BTreeMap<ModelName, UsageProfile> {
-    /// Habits that are not understood are left out: they are learnt anew.
+    /// Profiles with a wrong number of shares are left out, and are observed again from the start.
     fn from(wire: WireUsageProfiles) -> Self {
         let models = wire.models.into_iter();
         models
