--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -1,8 +1,8 @@
 //! Chooses an endpoint for one request.
 
 use crate::{
-    beliefs::Beliefs,
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, Incarnation},
+    local_view::LocalView,
     policy::Mechanism,
     replicas::ReplicaView,
 };
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceInputs<'a> {
     /// What this daemon knows.
-    pub local_view: &'a Beliefs,
+    pub local_view: &'a LocalView,
     /// The leader's latest report on the service.
     pub replicas: &'a ReplicaView,
     /// Time on the monotonic clock.
@@ -63,7 +63,7 @@
 #[trestle_macros::plain]
 pub struct Throttled {
     /// The incarnation of the endpoint.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Time until it accepts the next request.
     pub for_ms: u64,
     /// Whether the endpoint has reported a limit.
@@ -130,19 +130,24 @@
     for endpoint in directory.iter().filter(|endpoint| is_able(&known, &need, endpoint)) {
         let Standing::Closed { for_ms } = standing(&known, endpoint) else { return None };
         if soonest.as_ref().is_none_or(|soonest| for_ms < soonest.for_ms) {
-            let life = endpoint.life();
-            let is_limited = known.local_view.backpressure.limit(&life).is_some();
-            soonest = Some(Throttled { life, for_ms, is_limited });
+            let incarnation = endpoint.incarnation();
+            let is_limited = known.local_view.backpressure.limit(&incarnation).is_some();
+            soonest = Some(Throttled { incarnation, for_ms, is_limited });
         }
     }
     soonest
 }
 
 /// Returns whether a request that holds a send permit of this incarnation may be sent to it.
-pub fn accepts_with_permit(known: ChoiceInputs<'_>, need: Requirements<'_>, life: &Life) -> bool {
-    let endpoint = known.local_view.directory.get(&life.name);
-    let endpoint = endpoint.filter(|endpoint| endpoint.born_ms == life.born_ms);
-    let rests = known.local_view.backpressure.rests_for_ms(life, known.now_ms).is_some();
+pub fn accepts_with_permit(
+    known: ChoiceInputs<'_>,
+    need: Requirements<'_>,
+    incarnation: &Incarnation,
+) -> bool {
+    let endpoint = known.local_view.directory.get(&incarnation.name);
+    let endpoint =
+        endpoint.filter(|endpoint| endpoint.started_unix_ms == incarnation.started_unix_ms);
+    let rests = known.local_view.backpressure.backoff_left_ms(incarnation, known.now_ms).is_some();
     !rests && endpoint.is_some_and(|endpoint| is_able(&known, &need, endpoint))
 }
 
@@ -151,21 +156,21 @@
     if backpressure.is_empty() {
         return Standing::Open;
     }
-    let life = endpoint.life();
+    let incarnation = endpoint.incarnation();
     let in_flight = known.local_view.records.of(&endpoint.name).in_flight;
-    let by_rest_ms = backpressure.rest_closed_for_ms(&life, in_flight, known.now_ms);
-    let by_limit_ms = backpressure.closed_for_ms(&life, known.now_ms);
+    let by_rest_ms = backpressure.backoff_closed_for_ms(&incarnation, in_flight, known.now_ms);
+    let by_limit_ms = backpressure.limit_closed_for_ms(&incarnation, known.now_ms);
     match by_rest_ms.max(by_limit_ms) {
         Some(for_ms) => Standing::Closed { for_ms },
-        None if backpressure.limit(&life).is_some() => Standing::Limited,
+        None if backpressure.limit(&incarnation).is_some() => Standing::Limited,
         None => Standing::Open,
     }
 }
 
 /// Returns whether a request should try a limited endpoint although another one could run it.
 fn is_trial_due(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
-    let ChoiceInputs { local_view: beliefs, now_ms, .. } = known;
-    beliefs.backpressure.is_trial_due(&endpoint.life(), beliefs.daemons, *now_ms)
+    let ChoiceInputs { local_view, now_ms, .. } = known;
+    local_view.backpressure.is_trial_due(&endpoint.incarnation(), local_view.daemons, *now_ms)
 }
 
 fn is_sound(known: &ChoiceInputs<'_>, endpoint: &Endpoint) -> bool {
@@ -173,7 +178,7 @@
 }
 
 fn is_able(known: &ChoiceInputs<'_>, need: &Requirements<'_>, endpoint: &Endpoint) -> bool {
-    let is_listed = endpoint.service == *need.service && !endpoint.is_leaving;
+    let is_listed = endpoint.service == *need.service && !endpoint.is_draining;
     is_listed
         && !need.excluded.contains(&endpoint.name)
         && need.only.is_none_or(|only| only.contains(&endpoint.name))
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -88,7 +88,7 @@
 
 /// A resignation received from another daemon, with times on this daemon's clock.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct SignalChange {
     token: u64,
     at_ms: u64,
     quiet_until_ms: u64,
@@ -112,7 +112,7 @@
     unknown_until_ms: u64,
     /// The token under which this daemon gives no further order.
     resigned_token: Option<u64>,
-    heard: Option<Heard>,
+    heard: Option<SignalChange>,
     next_write_ms: u64,
     is_writing: bool,
     is_leaving: bool,
@@ -313,7 +313,7 @@
         if self.heard.is_some_and(|heard| heard.token >= resignation.token) {
             return;
         }
-        self.heard = Some(Heard {
+        self.heard = Some(SignalChange {
             token: resignation.token,
             at_ms: now_ms,
             quiet_until_ms: now_ms + resignation.quiet_for_ms,
@@ -347,7 +347,7 @@
     }
 
     /// Returns the resignation of the holder in the row that was seen, if it has stepped down.
-    fn heard_of(&self, seen: &Seen) -> Option<Heard> {
+    fn heard_of(&self, seen: &Seen) -> Option<SignalChange> {
         let row = seen.row.as_ref()?;
         self.heard.filter(|heard| heard.token == row.token && !self.is_mine(row))
     }
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     admission::{self, Admission, Forecast, Reason, Wait},
-    asked::Wish,
-    beliefs::Beliefs,
     choice::{self, ChoiceInputs, Requirements, Throttled},
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, Incarnation},
     loadable::Loadable,
+    local_demand::PendingDemand,
+    local_view::LocalView,
     policy::{Mechanism, Policy},
     replicas::ReplicaView,
     request::RequestHead,
@@ -43,7 +43,7 @@
     pub has_quota: bool,
     /// The incarnation of a limited endpoint that has granted a send permit for the request, if
     /// any.
-    pub send_permit: Option<&'a Life>,
+    pub send_permit: Option<&'a Incarnation>,
 }
 
 /// The decision on a request.
@@ -81,21 +81,22 @@
 /// `random` must differ from request to request and from daemon to daemon, or all of them choose
 /// the same endpoint.
 pub fn select(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: RequestContext<'_>,
     sends: &Sends,
     lot: u64,
     now_ms: u64,
 ) -> Selection {
     // Any attempt of this request crashes an endpoint, with everything else that runs there.
-    if let Some(retry_after_ms) = beliefs.refused_for_ms(asking.head.fingerprint, now_ms) {
+    if let Some(retry_after_ms) = local_view.refused_for_ms(asking.head.fingerprint, now_ms) {
         return Selection::Refuse { retry_after_ms, reason: Some(Reason::EndsEndpoints) };
     }
-    if let Some(endpoint) = choose_allowed(beliefs, asking, sends, lot, now_ms) {
-        let must_ask = !asking.is_trial && beliefs.must_be_tried(asking.head.fingerprint, now_ms);
-        let life = endpoint.life();
-        let needs_place =
-            beliefs.backpressure.limit(&life).is_some() && asking.send_permit != Some(&life);
+    if let Some(endpoint) = choose_allowed(local_view, asking, sends, lot, now_ms) {
+        let must_ask =
+            !asking.is_trial && local_view.must_run_serially(asking.head.fingerprint, now_ms);
+        let incarnation = endpoint.incarnation();
+        let needs_place = local_view.backpressure.limit(&incarnation).is_some()
+            && asking.send_permit != Some(&incarnation);
         return match (must_ask, asking.has_quota) {
             (true, _) => Selection::RequestTrial,
             (false, false) => Selection::ChargeQuota,
@@ -104,13 +105,13 @@
         };
     }
     let everywhere = sends.allowed_at_all(asking.route);
-    if let Some(held_back) = look(beliefs, asking, &everywhere, now_ms, choice::throttled) {
+    if let Some(held_back) = look(local_view, asking, &everywhere, now_ms, choice::throttled) {
         return Selection::Throttled(held_back);
     }
     if asking.head.model.is_none() {
         return Selection::Refuse { retry_after_ms: PLAIN_RETRY_MS, reason: None };
     }
-    match wait_or_refuse(beliefs, asking, now_ms) {
+    match wait_or_refuse(local_view, asking, now_ms) {
         Admission::Wait { until_ms } => Selection::Wait { until_ms },
         Admission::Refuse { retry_after_ms, reason } => {
             Selection::Refuse { retry_after_ms, reason: Some(reason) }
@@ -122,29 +123,29 @@
 /// allows the send. Without the check of the budget, 400 of 20,000 streams that waited in an
 /// engine's queue were aborted and then sent nowhere.
 pub fn has_alternative(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: RequestContext<'_>,
     sends: &Sends,
     now_ms: u64,
 ) -> bool {
-    if !beliefs.has_retry(asking.service, now_ms) {
+    if !local_view.has_retry(asking.service, now_ms) {
         return false;
     }
     let allowed = sends.allowed_elsewhere(asking.route, now_ms);
-    look(beliefs, asking, &allowed, now_ms, choice::has_healthy)
+    look(local_view, asking, &allowed, now_ms, choice::has_healthy)
 }
 
 /// Returns what a request waits for, or `None` if it names no model. `due_ms` is a time on the
 /// daemon's clock.
-pub fn pending_demand(asking: RequestContext<'_>, due_ms: u64) -> Option<Wish> {
+pub fn pending_demand(asking: RequestContext<'_>, due_ms: u64) -> Option<PendingDemand> {
     let model = asking.head.model.clone()?;
     let adapter = asking.head.adapter.clone();
-    Some(Wish {
+    Some(PendingDemand {
         priority: asking.route.priority,
         due_ms,
         model,
         adapter,
-        told: None,
+        first_report: None,
         ready_ms: None,
     })
 }
@@ -156,13 +157,13 @@
     asking: RequestContext<'_>,
     retry_after_ms: u64,
     now_ms: u64,
-) -> Option<Wish> {
+) -> Option<PendingDemand> {
     let is_kept = policy.has(Mechanism::KeepForReturning);
     pending_demand(asking, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
 }
 
 fn choose_allowed(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: RequestContext<'_>,
     sends: &Sends,
     lot: u64,
@@ -170,14 +171,15 @@
 ) -> Option<Endpoint> {
     let mut choose = |allowed: &Allowed| {
         let chosen = |known: ChoiceInputs<'_>, need: Requirements<'_>| {
-            let place =
-                asking.send_permit.filter(|life| choice::accepts_with_permit(known, need, life));
+            let place = asking
+                .send_permit
+                .filter(|incarnation| choice::accepts_with_permit(known, need, incarnation));
             match place {
-                Some(life) => known.local_view.directory.get(&life.name).cloned(),
+                Some(incarnation) => known.local_view.directory.get(&incarnation.name).cloned(),
                 None => choice::choose(known, need, lot).cloned(),
             }
         };
-        look(beliefs, asking, allowed, now_ms, chosen)
+        look(local_view, asking, allowed, now_ms, chosen)
     };
     let chosen = choose(&sends.allowed(asking.route, now_ms));
     chosen.or_else(|| choose(&sends.allowed_again(asking.route)?))
@@ -185,7 +187,7 @@
 
 /// Calls `look` with the daemon's present knowledge and the requirements of the request.
 fn look<R>(
-    beliefs: &mut Beliefs,
+    local_view: &mut LocalView,
     asking: RequestContext<'_>,
     allowed: &Allowed,
     now_ms: u64,
@@ -198,50 +200,54 @@
         excluded: &allowed.excluded,
         only: allowed.only.as_ref(),
     };
-    beliefs.directory.tick(now_ms);
+    local_view.directory.drop_lapsed(now_ms);
     let nothing = ReplicaView::default();
-    let replicas = beliefs.replicas.get(asking.service).unwrap_or(&nothing);
-    look(ChoiceInputs { local_view: beliefs, replicas, now_ms }, need)
+    let replicas = local_view.replicas.get(asking.service).unwrap_or(&nothing);
+    look(ChoiceInputs { local_view, replicas, now_ms }, need)
 }
 
 /// Decides whether a request that no endpoint can run now waits or is refused.
-fn wait_or_refuse(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> Admission {
+fn wait_or_refuse(
+    local_view: &mut LocalView,
+    asking: RequestContext<'_>,
+    now_ms: u64,
+) -> Admission {
     let RequestContext { route, elapsed_ms, allowed_ms, .. } = asking;
-    let wait = match beliefs.policy.has(Mechanism::WaitWhileCallerStays) {
+    let wait = match local_view.policy.has(Mechanism::WaitWhileCallerStays) {
         true => Wait::new(route, elapsed_ms, allowed_ms),
         false => Wait::within_objective(route, elapsed_ms, allowed_ms),
     };
-    admission::decide(wait, outlook(beliefs, asking, now_ms))
+    admission::decide(wait, outlook(local_view, asking, now_ms))
 }
 
 /// Returns when the model of a request is expected to be ready.
-fn outlook(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> Forecast {
+fn outlook(local_view: &mut LocalView, asking: RequestContext<'_>, now_ms: u64) -> Forecast {
     let Some(model) = &asking.head.model else { return Forecast::Unknown };
-    if !beliefs.has_leader {
+    if !local_view.has_leader {
         let everywhere = Allowed { excluded: BTreeSet::new(), only: None };
-        if look(beliefs, asking, &everywhere, now_ms, choice::is_loaded) {
-            return Forecast::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) };
+        if look(local_view, asking, &everywhere, now_ms, choice::is_loaded) {
+            return Forecast::Here { for_ms: ready_for_ms(local_view, asking, now_ms) };
         }
-        let is_awaited = beliefs.policy.has(Mechanism::AwaitLeader);
-        let in_ms = beliefs.without_leader_ms(now_ms).filter(|_| is_awaited);
+        let is_awaited = local_view.policy.has(Mechanism::AwaitLeader);
+        let in_ms = local_view.leader_recovery_ms(now_ms).filter(|_| is_awaited);
         return in_ms.map_or(Forecast::Unknown, |in_ms| Forecast::Ready { in_ms });
     }
     let loadable = Loadable::new(model, asking.head.adapter.as_ref());
-    let ready_in_ms = beliefs.ready_in_ms(asking.service, &loadable, now_ms);
+    let ready_in_ms = local_view.ready_in_ms(asking.service, &loadable, now_ms);
     match ready_in_ms {
-        Some(0) => return Forecast::Here { for_ms: ready_for_ms(beliefs, asking, now_ms) },
+        Some(0) => return Forecast::Here { for_ms: ready_for_ms(local_view, asking, now_ms) },
         Some(in_ms) => return Forecast::Ready { in_ms },
         None => {}
     }
-    let asked = beliefs.asked.get(asking.service);
+    let asked = local_view.local_demand.get(asking.service);
     let is_answered =
-        asked.zip(asking.demand_id).is_some_and(|(asked, wish)| asked.is_answered(wish));
+        asked.zip(asking.demand_id).is_some_and(|(asked, wish)| asked.is_planned(wish));
     if is_answered { Forecast::Unknown } else { Forecast::NotReported }
 }
 
 /// Returns for how long the leader has reported the model as ready while this request waits for it.
-fn ready_for_ms(beliefs: &mut Beliefs, asking: RequestContext<'_>, now_ms: u64) -> u64 {
-    let waiting = &mut beliefs.asked_of(asking.service).waiting;
+fn ready_for_ms(local_view: &mut LocalView, asking: RequestContext<'_>, now_ms: u64) -> u64 {
+    let waiting = &mut local_view.local_demand_for(asking.service).waiting;
     let wish = asking.demand_id.and_then(|number| waiting.get_mut(&number));
     let ready_ms = wish.map(|wish| *wish.ready_ms.get_or_insert(now_ms));
     ready_ms.map_or(0, |ready_ms| now_ms.saturating_sub(ready_ms))
