--- a/crates/trestle-dispatch/examples/plan_time.rs
+++ b/crates/trestle-dispatch/examples/plan_time.rs
@@ -122,9 +122,9 @@
         });
         let foreign = foreign.collect();
         state.sharing.update(OtherLeaders {
-            led: ["d0".into()].into(),
-            live: ["d1", "d2", "d3", "d4"].map(Into::into).into(),
-            leaders: 4,
+            own_groups: ["d0".into()].into(),
+            live_groups: ["d1", "d2", "d3", "d4"].map(Into::into).into(),
+            other_leader_count: 4,
             engines: foreign,
             ..OtherLeaders::default()
         });
@@ -132,9 +132,9 @@
         let begun = state.plan(&spec, &policy, &own, 0, |_| true, now_ms);
         planning_us += began.elapsed().as_micros() as u64;
         for (endpoint, change, mut chain) in begun {
-            chain.reported(None, now_ms);
+            chain.apply_report(None, now_ms);
             let _ = change;
-            state.change_ended(&endpoint.incarnation(), &chain, now_ms);
+            state.finish_change(&endpoint.incarnation(), &chain, now_ms);
         }
     }
     println!("{} us a plan", planning_us / PLANS);
--- a/crates/trestle-dispatch/src/change.rs
+++ b/crates/trestle-dispatch/src/change.rs
@@ -31,7 +31,7 @@
 
 impl Change {
     /// Time until it should be done; never 0, since it is not done yet.
-    pub fn left_ms(&self, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, now_ms: u64) -> u64 {
         let overdue_ms = now_ms.saturating_sub(self.done_at_ms);
         self.done_at_ms.saturating_sub(now_ms).max(LEAST_LEFT_MS + overdue_ms / OVERDUE_PART)
     }
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -151,7 +151,7 @@
     /// Whether it has told what it remembers.
     has_remembered: bool,
     /// Number of its last digest that a plan has looked at.
-    planned: u64,
+    last_planned: u64,
     digest: DemandReport,
 }
 
@@ -179,14 +179,14 @@
         for adapter in digest.adapters_in_use.values().flatten() {
             self.adapters_used_ms.insert(adapter.clone(), now_ms);
         }
-        let planned = self.planned(&daemon);
-        let told = Told { at_ms: now_ms, is_leader, has_remembered, planned, digest };
+        let planned = self.last_planned(&daemon);
+        let told = Told { at_ms: now_ms, is_leader, has_remembered, last_planned: planned, digest };
         self.daemons.insert(daemon, told);
     }
 
     /// Number of the last digest of a daemon that a plan has looked at.
-    pub fn planned(&self, daemon: &VmName) -> u64 {
-        self.daemons.get(daemon).map_or(0, |told| told.planned)
+    pub fn last_planned(&self, daemon: &VmName) -> u64 {
+        self.daemons.get(daemon).map_or(0, |told| told.last_planned)
     }
 
     /// Notes that a plan looks at all that was told, where engines hold these models. What a
@@ -200,7 +200,7 @@
         for told in self.daemons.values_mut() {
             let mut waiting = told.digest.waiting.iter();
             if told.is_leader || waiting.all(|waiting| is_planned(&waiting.loadable())) {
-                told.planned = told.digest.number;
+                told.last_planned = told.digest.number;
             }
         }
         self.note_peaks(now_ms);
@@ -245,7 +245,7 @@
     }
 
     /// Forgets daemons that have been silent for long.
-    pub fn tick(&mut self, now_ms: u64) {
+    pub fn drop_lapsed(&mut self, now_ms: u64) {
         self.daemons.retain(|_, told| now_ms < told.at_ms + COUNTED_MS);
         self.rates.forget(now_ms);
         self.own_rates.forget(now_ms);
@@ -322,7 +322,7 @@
     }
 
     /// What daemons themselves wait for.
-    pub fn waited_for(&self, now_ms: u64) -> BTreeSet<Loadable> {
+    pub fn pending_loadables(&self, now_ms: u64) -> BTreeSet<Loadable> {
         let waiting = self.live_own(now_ms).flat_map(|digest| &digest.waiting);
         waiting.map(Waiting::loadable).collect()
     }
--- a/crates/trestle-dispatch/src/loadable.rs
+++ b/crates/trestle-dispatch/src/loadable.rs
@@ -25,7 +25,7 @@
 }
 
 /// Times until things are ready, of those that are about some models.
-pub fn ready_of<'a>(
+pub fn ready_times_of<'a>(
     ready_in_ms: &'a BTreeMap<Loadable, u64>,
     models: &'a BTreeSet<ModelName>,
 ) -> impl Iterator<Item = (&'a Loadable, u64)> {
@@ -37,6 +37,6 @@
 }
 
 /// Time until something is ready, some time after it was said; 0 only if it was ready then.
-pub fn aged_ms(ready_in_ms: u64, age_ms: u64) -> u64 {
+pub fn remaining_ms(ready_in_ms: u64, age_ms: u64) -> u64 {
     ready_in_ms.saturating_sub(age_ms).max(u64::from(ready_in_ms > 0))
 }
--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -160,7 +160,7 @@
     /// Takes a further send for a service, if the budget allows it.
     pub fn spend_retry(&mut self, service: &ServiceName, now_ms: u64) -> bool {
         let share = self.retries.entry(service.clone()).or_default();
-        share.take(now_ms, &self.retry_bounds, self.daemons)
+        share.spend(now_ms, &self.retry_bounds, self.daemons)
     }
 
     /// Whether the budget allows a further send for a service.
@@ -171,7 +171,7 @@
 
     /// Notes a request of a caller to a service.
     pub fn request_arrived(&mut self, service: &ServiceName, now_ms: u64) {
-        self.retries.entry(service.clone()).or_default().requested(now_ms);
+        self.retries.entry(service.clone()).or_default().record_request(now_ms);
     }
 
     /// Notes a request of a caller for a model.
@@ -266,7 +266,7 @@
         now_ms: u64,
     ) -> Option<u64> {
         let ready_in_ms = self.replicas.get(service)?.ready_in_ms.get(loadable)?;
-        Some(loadable::aged_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
+        Some(loadable::remaining_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
     }
 
     /// Forgets what leaders said, some time after the last was heard. Entries that were passed
--- a/crates/trestle-dispatch/src/order_log.rs
+++ b/crates/trestle-dispatch/src/order_log.rs
@@ -21,12 +21,12 @@
 
 impl OrderLog {
     /// Notes an order that leaves now, and arrives by a time or never.
-    pub fn sent(&mut self, endpoint: &EndpointName, arrives_by_ms: u64) {
+    pub fn record_send(&mut self, endpoint: &EndpointName, arrives_by_ms: u64) {
         self.own_ms.insert(endpoint.clone(), arrives_by_ms);
     }
 
     /// Notes that an order was answered or given up on, so that it arrives no more.
-    pub fn ended(&mut self, endpoint: &EndpointName, now_ms: u64) {
+    pub fn record_end(&mut self, endpoint: &EndpointName, now_ms: u64) {
         self.own_ms.insert(endpoint.clone(), now_ms);
     }
 
--- a/crates/trestle-dispatch/src/orders.rs
+++ b/crates/trestle-dispatch/src/orders.rs
@@ -172,7 +172,7 @@
     }
 
     /// Takes the answer to the order that was sent last.
-    pub fn answered(&mut self, answer: OrderAnswer, now_ms: u64) {
+    pub fn apply_answer(&mut self, answer: OrderAnswer, now_ms: u64) {
         if answer != OrderAnswer::Unknown {
             self.unanswered = 0;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Takes the engine's report; `None` if it did not answer.
-    pub fn reported(&mut self, report: Option<&EngineReport>, now_ms: u64) {
+    pub fn apply_report(&mut self, report: Option<&EngineReport>, now_ms: u64) {
         self.not_before_ms = now_ms + REPORT_PAUSE_MS;
         let Some(report) = report else {
             self.count_unanswered();
--- a/crates/trestle-dispatch/src/placing.rs
+++ b/crates/trestle-dispatch/src/placing.rs
@@ -253,12 +253,12 @@
         let ready = self.engines.values().filter_map(|state| match state.change {
             Some(change) if change.evicted.contains(model) => None,
             Some(change) if change.model == *model && change.adapter.is_none() => {
-                Some(change.left_ms(self.now_ms))
+                Some(change.remaining_ms(self.now_ms))
             }
             _ => state.held.contains_key(model).then_some(0),
         });
         let planned = self.plan.changes.iter().filter(|change| change.model == *model);
-        let planned = planned.map(|change| change.left_ms(self.now_ms));
+        let planned = planned.map(|change| change.remaining_ms(self.now_ms));
         ready.chain(planned).min()
     }
 
@@ -308,7 +308,7 @@
             return None;
         }
         let under_way = state.change.or_else(|| self.planned_at(&endpoint.name));
-        let busy_ms = under_way.map_or(0, |change| change.left_ms(self.now_ms));
+        let busy_ms = under_way.map_or(0, |change| change.remaining_ms(self.now_ms));
         let (load_ms, is_remote) = spec.load_ms(endpoint, model);
         if is_remote && self.remote_loads >= self.most_remote_loads() {
             return None;
@@ -389,7 +389,7 @@
             running: self.usage.at(&state.endpoint.name),
         });
         let own: Vec<EngineView<'_>> = own.collect();
-        self.sharing.is_next_here(model, spec, &own)
+        self.sharing.is_next_replica_here(model, spec, &own)
     }
 }
 
--- a/crates/trestle-dispatch/src/placing/adapters.rs
+++ b/crates/trestle-dispatch/src/placing/adapters.rs
@@ -48,7 +48,7 @@
         let coming = under_way
             .chain(&self.plan.changes)
             .filter(|change| change.model == *model && change.adapter.as_ref() == Some(adapter));
-        coming.map(|change| change.left_ms(self.now_ms)).min()
+        coming.map(|change| change.remaining_ms(self.now_ms)).min()
     }
 
     fn is_on_its_way(
@@ -103,7 +103,7 @@
         let free_in_ms = self.hosts(&loadable.model).map(|state| {
             let change = state.change.or_else(|| self.planned_at(&state.endpoint.name));
             match change {
-                Some(change) => change.left_ms(self.now_ms),
+                Some(change) => change.remaining_ms(self.now_ms),
                 // All of its adapters are in use.
                 None => self.observed_times.run_wait_ms(self.policy) as u64,
             }
--- a/crates/trestle-dispatch/src/placing/remote.rs
+++ b/crates/trestle-dispatch/src/placing/remote.rs
@@ -31,7 +31,7 @@
     /// Loads from the weight store that this leader may have under way; leaders share what it
     /// serves at full speed.
     pub(super) fn most_remote_loads(&self) -> usize {
-        (REMOTE_LOADS_AT_ONCE / self.sharing.leaders()).max(1)
+        (REMOTE_LOADS_AT_ONCE / self.sharing.leader_count()).max(1)
     }
 
     /// Sees to models that can only come from the weight store.
@@ -93,6 +93,6 @@
     fn remote_ends_ms(&self) -> impl Iterator<Item = u64> {
         let under_way = self.engines.values().filter_map(|state| state.change);
         let remote = under_way.chain(&self.plan.changes).filter(|change| change.is_remote);
-        remote.map(|change| change.left_ms(self.now_ms))
+        remote.map(|change| change.remaining_ms(self.now_ms))
     }
 }
--- a/crates/trestle-dispatch/src/retry_share.rs
+++ b/crates/trestle-dispatch/src/retry_share.rs
@@ -46,7 +46,7 @@
 
 impl RetryShare {
     /// Records a request of a caller.
-    pub fn requested(&mut self, now_ms: u64) {
+    pub fn record_request(&mut self, now_ms: u64) {
         self.slice(now_ms).requests += 1;
     }
 
@@ -54,7 +54,7 @@
     ///
     /// While the number of daemons is not known (0), nothing of the fixed number is used: 295
     /// daemons that had started at once and assumed 12 would have used 24 times that number.
-    pub fn take(&mut self, now_ms: u64, bounds: &RetryBounds, daemons: usize) -> bool {
+    pub fn spend(&mut self, now_ms: u64, bounds: &RetryBounds, daemons: usize) -> bool {
         let has_room = self.has_room(now_ms, bounds, daemons);
         if has_room {
             self.slice(now_ms).repeats += 1;
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -86,7 +86,7 @@
         may_order_at: impl Fn(&EndpointName) -> bool,
         now_ms: u64,
     ) -> Vec<StartedChange> {
-        self.demand.tick(now_ms);
+        self.demand.drop_lapsed(now_ms);
         self.follow(directory, now_ms);
         self.assign_groups(spec, directory, now_ms);
         let unlimited = self.engines.iter().filter(|(name, _)| !self.limited.contains(*name));
@@ -139,11 +139,11 @@
         directory: &BTreeMap<EndpointName, Arc<Endpoint>>,
         now_ms: u64,
     ) {
-        self.sharing.tick(now_ms);
+        self.sharing.drop_lapsed(now_ms);
         if self.sharing.is_alone() {
             return;
         }
-        let wishes = self.demand.waited_for(now_ms);
+        let wishes = self.demand.pending_loadables(now_ms);
         let (known, new): (Vec<Loadable>, Vec<Loadable>) =
             wishes.into_iter().partition(|wish| self.sharing.is_settled(wish, now_ms));
         self.sharing.renew(&known, now_ms);
@@ -166,13 +166,13 @@
         if self.sharing.is_alone() {
             return BTreeSet::new();
         }
-        let wishes = self.demand.waited_for(now_ms);
+        let wishes = self.demand.pending_loadables(now_ms);
         let unplanned = wishes.iter().filter(|wish| !self.sharing.is_planned(wish, now_ms));
         unplanned.filter_map(|wish| self.sharing.assigned_group(wish).cloned()).collect()
     }
 
     /// Takes the end of a change; nothing, if the engine has started again meanwhile.
-    pub fn change_ended(&mut self, engine: &Incarnation, chain: &OrderChain, now_ms: u64) {
+    pub fn finish_change(&mut self, engine: &Incarnation, chain: &OrderChain, now_ms: u64) {
         let known = self.engines.get_mut(&engine.name);
         let Some(known) = known.filter(|known| known.born_ms == engine.started_unix_ms) else {
             return;
@@ -232,7 +232,9 @@
     fn ready_in_ms(&self, now_ms: u64) -> BTreeMap<Loadable, u64> {
         let age_ms = now_ms.saturating_sub(self.planned_ms);
         let ready = self.ready_in_ms.iter();
-        ready.map(|(loadable, ms)| (loadable.clone(), loadable::aged_ms(*ms, age_ms))).collect()
+        ready
+            .map(|(loadable, ms)| (loadable.clone(), loadable::remaining_ms(*ms, age_ms)))
+            .collect()
     }
 
     /// Takes over what engines say of themselves, where nothing newer is known.
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -67,10 +67,10 @@
 /// What a leader knows of engines that others order.
 #[derive(Debug, Default)]
 pub struct Sharing {
-    led: BTreeSet<DomainName>,
+    own_groups: BTreeSet<DomainName>,
     /// Groups with a leader that answers, this one's included.
-    live: BTreeSet<DomainName>,
-    leaders: usize,
+    live_groups: BTreeSet<DomainName>,
+    other_leader_count: usize,
     engines: BTreeMap<EndpointName, ForeignEngine>,
     /// Models that another leader is bringing in, with its group.
     loading: BTreeMap<ModelName, DomainName>,
@@ -94,11 +94,11 @@
 #[derive(Debug, Default)]
 pub struct OtherLeaders {
     /// Groups that this leader orders.
-    pub led: BTreeSet<DomainName>,
+    pub own_groups: BTreeSet<DomainName>,
     /// Groups of other leaders that answer.
-    pub live: BTreeSet<DomainName>,
+    pub live_groups: BTreeSet<DomainName>,
     /// Other leaders.
-    pub leaders: usize,
+    pub other_leader_count: usize,
     /// Engines of all other groups.
     pub engines: BTreeMap<EndpointName, ForeignEngine>,
     /// Models that others are bringing in, with their groups.
@@ -110,13 +110,20 @@
 impl Sharing {
     /// Takes what is known of the others now.
     pub fn update(&mut self, others: OtherLeaders) {
-        let OtherLeaders { led, mut live, leaders, engines, loading: coming, planned } = others;
-        live.extend(led.iter().cloned());
-        self.led = led;
-        self.live = live;
-        self.leaders = leaders;
+        let OtherLeaders {
+            own_groups,
+            mut live_groups,
+            other_leader_count,
+            engines,
+            loading,
+            planned,
+        } = others;
+        live_groups.extend(own_groups.iter().cloned());
+        self.own_groups = own_groups;
+        self.live_groups = live_groups;
+        self.other_leader_count = other_leader_count;
         self.engines = engines;
-        self.loading = coming;
+        self.loading = loading;
         self.planned = planned;
     }
 
@@ -126,8 +133,8 @@
     }
 
     /// Leaders that share the weight store.
-    pub fn leaders(&self) -> usize {
-        self.leaders + 1
+    pub fn leader_count(&self) -> usize {
+        self.other_leader_count + 1
     }
 
     /// Engines that others order.
@@ -137,7 +144,7 @@
 
     /// Whether this leader sees to what its own daemons wait for.
     pub fn is_assigned_here(&self, wish: &Loadable) -> bool {
-        self.assigned_group(wish).is_none_or(|group| self.led.contains(group))
+        self.assigned_group(wish).is_none_or(|group| self.own_groups.contains(group))
     }
 
     /// The group whose leader sees to a wish, where that was worked out.
@@ -148,7 +155,7 @@
     /// Whether whoever sees to a wish has planned with it, or had the time to.
     pub fn is_planned(&self, wish: &Loadable, now_ms: u64) -> bool {
         let Some(home) = self.homes.get(wish) else { return true };
-        self.led.contains(&home.group)
+        self.own_groups.contains(&home.group)
             || self.planned.contains(wish)
             || now_ms >= home.since_ms + UNANSWERED_MS
     }
@@ -171,7 +178,7 @@
     /// Whether the group that sees to a wish stays the same for now.
     pub fn is_settled(&self, wish: &Loadable, now_ms: u64) -> bool {
         let home = self.homes.get(wish);
-        home.is_some_and(|home| now_ms < home.until_ms && self.live.contains(&home.group))
+        home.is_some_and(|home| now_ms < home.until_ms && self.live_groups.contains(&home.group))
     }
 
     /// Notes that somebody still waits for these.
@@ -216,7 +223,9 @@
         if let Some(holder) = holders.min_by_key(|host| rank(wish, host.endpoint)) {
             return Some((holder.endpoint.domain.clone(), now_ms + PRESENT_MS));
         }
-        if let Some(group) = self.loading.get(model).filter(|group| self.live.contains(*group)) {
+        if let Some(group) =
+            self.loading.get(model).filter(|group| self.live_groups.contains(*group))
+        {
             return Some((group.clone(), now_ms + PRESENT_MS));
         }
         let spec = spec.models.get(model)?;
@@ -225,7 +234,7 @@
     }
 
     /// Whether this leader's engines should get the next replica of a model.
-    pub fn is_next_here(
+    pub fn is_next_replica_here(
         &self,
         model: &ModelName,
         spec: &ModelSpec,
@@ -234,11 +243,11 @@
         let is_coming_elsewhere = self.loading.contains_key(model);
         let hosts = self.live_hosts(own).into_iter();
         let group = best(model, spec, hosts.filter(|host| !host.holds.contains_key(model)));
-        !is_coming_elsewhere && group.is_some_and(|group| self.led.contains(group))
+        !is_coming_elsewhere && group.is_some_and(|group| self.own_groups.contains(group))
     }
 
     /// Forgets models that nobody waits for any more.
-    pub fn tick(&mut self, now_ms: u64) {
+    pub fn drop_lapsed(&mut self, now_ms: u64) {
         self.homes.retain(|_, home| now_ms < home.wanted_ms + FORGOTTEN_MS);
     }
 
@@ -250,7 +259,7 @@
             running: foreign.running,
         });
         let hosts = own.iter().copied().chain(foreign);
-        hosts.filter(|host| self.live.contains(&host.endpoint.domain)).collect()
+        hosts.filter(|host| self.live_groups.contains(&host.endpoint.domain)).collect()
     }
 }
 
--- a/crates/trestle-dispatch/tests/lease.rs
+++ b/crates/trestle-dispatch/tests/lease.rs
@@ -230,7 +230,7 @@
             return;
         }
         let arrives_ms = now_ms + self.lots.u64(0..FLIGHT_MS);
-        daemon.log.sent(&engine.into(), now_ms - daemon.behind_ms + FLIGHT_MS);
+        daemon.log.record_send(&engine.into(), now_ms - daemon.behind_ms + FLIGHT_MS);
         self.engine_orders.entry(engine).or_default().push((arrives_ms, number));
     }
 
--- a/crates/trestle-dispatch/tests/orders.rs
+++ b/crates/trestle-dispatch/tests/orders.rs
@@ -167,20 +167,20 @@
         let (next, not_before_ms) = chain.next();
         now_ms = now_ms.max(not_before_ms) + 3;
         match next {
-            NextStep::Report => chain.reported(Some(&engine.report(now_ms)), now_ms),
+            NextStep::Report => chain.apply_report(Some(&engine.report(now_ms)), now_ms),
             NextStep::Send(order, count) => match fate(number) {
                 Fate::Answered => {
                     let answer = engine.take(&order, count, now_ms);
-                    chain.answered(answer, now_ms);
+                    chain.apply_answer(answer, now_ms);
                 }
                 Fate::AnswerLost => {
                     engine.take(&order, count, now_ms);
-                    chain.answered(OrderAnswer::Unknown, now_ms + 500);
+                    chain.apply_answer(OrderAnswer::Unknown, now_ms + 500);
                     now_ms += 500;
                 }
                 Fate::Late(by_ms) => {
                     engine.late.push((now_ms + by_ms, order, count));
-                    chain.answered(OrderAnswer::Unknown, now_ms + 500);
+                    chain.apply_answer(OrderAnswer::Unknown, now_ms + 500);
                     now_ms += 500;
                 }
             },
--- a/crates/trestle-dispatch/tests/service_state.rs
+++ b/crates/trestle-dispatch/tests/service_state.rs
@@ -90,11 +90,11 @@
         let mut state = ServiceState::default();
         tell(&mut state, 1, &["c"], 1_000);
         let (endpoint, _, mut chain) = plan(&mut state, &engines, 0, 1_000).remove(0);
-        chain.reported(Some(&report(&endpoint)), 1_010);
-        chain.answered(OrderAnswer::Accepted, 1_020);
-        chain.answered(OrderAnswer::Fulfilled, 1_900);
+        chain.apply_report(Some(&report(&endpoint)), 1_010);
+        chain.apply_answer(OrderAnswer::Accepted, 1_020);
+        chain.apply_answer(OrderAnswer::Fulfilled, 1_900);
         assert!(chain.is_done());
-        state.change_ended(&endpoint.incarnation(), &chain, 1_900);
+        state.finish_change(&endpoint.incarnation(), &chain, 1_900);
         plan(&mut state, &engines, 0, 2_000);
         let note = &view(&state, &engines, 2_000).engines[&EndpointName::from("x")];
         assert!(note.holds.contains_key("c"));
@@ -108,14 +108,14 @@
         let mut state = ServiceState::default();
         tell(&mut state, 1, &["c"], 1_000);
         let (engine, _, mut chain) = plan(&mut state, &[before], 0, 1_000).remove(0);
-        chain.reported(Some(&report(&engine)), 1_010);
-        chain.answered(OrderAnswer::Accepted, 1_020);
-        chain.answered(OrderAnswer::Fulfilled, 1_900);
+        chain.apply_report(Some(&report(&engine)), 1_010);
+        chain.apply_answer(OrderAnswer::Accepted, 1_020);
+        chain.apply_answer(OrderAnswer::Fulfilled, 1_900);
         let mut after = endpoint("x", "z", &[]);
         (after.entry_number, after.started_unix_ms) = (1, 20);
         let after = [after];
         plan(&mut state, &after, 5_000, 1_950);
-        state.change_ended(&engine.incarnation(), &chain, 2_000);
+        state.finish_change(&engine.incarnation(), &chain, 2_000);
         plan(&mut state, &after, 5_000, 2_050);
         let note = &view(&state, &after, 2_050).engines[&EndpointName::from("x")];
         assert!(note.holds.is_empty(), "{note:?}");
@@ -128,9 +128,9 @@
         tell(&mut state, 1, &["c"], 1_000);
         let (engine, _, mut chain) = plan(&mut state, &[before.clone()], 0, 1_000).remove(0);
         for at_ms in [1_010, 1_510, 2_010, 2_510, 3_010] {
-            chain.reported(None, at_ms);
+            chain.apply_report(None, at_ms);
         }
-        state.change_ended(&engine.incarnation(), &chain, 3_020);
+        state.finish_change(&engine.incarnation(), &chain, 3_020);
         let mut after = with_disk(endpoint("x", "z", &[]), &["c"]);
         (after.entry_number, after.started_unix_ms) = (1, 20);
         tell(&mut state, 2, &["c"], 3_030);
@@ -143,11 +143,11 @@
         let engines = [endpoint("x", "z", &["a"])];
         let mut state = ServiceState::default();
         tell(&mut state, 4, &["b"], 1_000);
-        assert_eq!(state.demand.planned(&"vm".into()), 0);
+        assert_eq!(state.demand.last_planned(&"vm".into()), 0);
         plan(&mut state, &engines, 0, 1_010);
-        assert_eq!(state.demand.planned(&"vm".into()), 4);
+        assert_eq!(state.demand.last_planned(&"vm".into()), 4);
         tell(&mut state, 5, &["b"], 1_020);
-        assert_eq!(state.demand.planned(&"vm".into()), 4);
+        assert_eq!(state.demand.last_planned(&"vm".into()), 4);
     }
 
     before_orders_may_be_given_nothing_is_changed_and_all_is_ready_that_much_later => {
--- a/crates/trestle-dispatch/tests/sharing.rs
+++ b/crates/trestle-dispatch/tests/sharing.rs
@@ -48,9 +48,9 @@
             )
         });
         self.state.sharing.update(OtherLeaders {
-            led: BTreeSet::from([self.domain.clone()]),
-            live: domains(live),
-            leaders: live.len(),
+            own_groups: BTreeSet::from([self.domain.clone()]),
+            live_groups: domains(live),
+            other_leader_count: live.len(),
             engines: engines.collect(),
             ..OtherLeaders::default()
         });
@@ -152,11 +152,11 @@
         leader.hear(&engines, &["z2"]);
         leader.wish("d");
         leader.plan(&engines, NOW_MS);
-        assert_eq!(leader.state.demand.planned(&"vm".into()), 0);
+        assert_eq!(leader.state.demand.last_planned(&"vm".into()), 0);
         leader.state.sharing.update(OtherLeaders {
-            led: domains(&["z1"]),
-            live: domains(&["z2"]),
-            leaders: 1,
+            own_groups: domains(&["z1"]),
+            live_groups: domains(&["z2"]),
+            other_leader_count: 1,
             engines: BTreeMap::from([(
                 "y".into(),
                 ForeignEngine { endpoint: Arc::new(engines[1].clone()), holds: engines[1].held.clone(), running: 0 },
@@ -165,7 +165,7 @@
             ..OtherLeaders::default()
         });
         leader.plan(&engines, NOW_MS + 30);
-        assert_eq!(leader.state.demand.planned(&"vm".into()), 1);
+        assert_eq!(leader.state.demand.last_planned(&"vm".into()), 1);
     }
 
     // Wrong once: the busiest model had 254 adapters, each leader named the model alone as
@@ -193,15 +193,15 @@
         };
         let mut plan_after = |planned: &[&str], now_ms| {
             leader.state.sharing.update(OtherLeaders {
-                led: domains(&["z1"]),
-                live: domains(&["z2"]),
-                leaders: 1,
+                own_groups: domains(&["z1"]),
+                live_groups: domains(&["z2"]),
+                other_leader_count: 1,
                 engines: BTreeMap::from([("y".into(), foreign.clone())]),
                 planned: planned.iter().map(|name| adapter(name)).collect(),
                 ..OtherLeaders::default()
             });
             leader.plan(&engines, now_ms);
-            leader.state.demand.planned(&"vm".into())
+            leader.state.demand.last_planned(&"vm".into())
         };
         assert_eq!(plan_after(&["m"], NOW_MS + 30), 0);
         assert_eq!(plan_after(&["m", "n"], NOW_MS + 60), 1);
@@ -253,7 +253,7 @@
         let digest = DemandReport { number: 3, waiting: vec![waiting], ..DemandReport::default() };
         leader.state.demand.report_received("vm".into(), digest, later_ms);
         leader.plan(&engines, later_ms);
-        assert_eq!(leader.state.demand.planned(&"vm".into()), 2);
+        assert_eq!(leader.state.demand.last_planned(&"vm".into()), 2);
     }
 
     // One leader of 256 engines and 295 daemons lost its lease to their questions.
@@ -324,8 +324,8 @@
         for _ in 0..295 {
             let mut share = RetryShare::default();
             let (requests, daemons) = (4, 0);
-            (0..requests).for_each(|_| share.requested(1_000));
-            taken += (0..50).filter(|_| share.take(1_100, &bounds, daemons)).count();
+            (0..requests).for_each(|_| share.record_request(1_000));
+            taken += (0..50).filter(|_| share.spend(1_100, &bounds, daemons)).count();
         }
         assert!(taken as f64 <= 295.0 * 4.0 * 0.2 + 630.0, "{taken}");
     }
--- a/crates/trestle-dispatch/tests/traffic.rs
+++ b/crates/trestle-dispatch/tests/traffic.rs
@@ -253,13 +253,13 @@
             let share = &mut shares[now_ms as usize / 10 % 6];
             let gap_ms = if now_ms < 25_000 { 10 } else { 40 };
             if now_ms % gap_ms == 0 {
-                share.requested(now_ms);
+                share.record_request(now_ms);
                 // Every tenth only tests the configuration.
                 if now_ms / gap_ms % 10 != 0 {
                     counted.push(now_ms);
                 }
             }
-            if share.take(now_ms, &bounds, 6) {
+            if share.spend(now_ms, &bounds, 6) {
                 repeats.push(now_ms);
             }
         }
@@ -285,10 +285,10 @@
             for now_ms in (0..60_000).step_by(20) {
                 let share = &mut shares[lots.usize(0..daemons)];
                 if lots.u32(0..3) == 0 {
-                    share.requested(now_ms);
+                    share.record_request(now_ms);
                     requests.push(now_ms);
                 }
-                if share.take(now_ms, &bounds, daemons) {
+                if share.spend(now_ms, &bounds, daemons) {
                     repeats.push(now_ms);
                 }
             }
--- a/crates/trestle-entry/src/control/answering.rs
+++ b/crates/trestle-entry/src/control/answering.rs
@@ -75,7 +75,7 @@
         }
         let services = &self.services;
         let due = self.pendings.take_due(now_ms, |service, teller| {
-            services.get(service).map_or(0, |known| known.demand.planned(teller))
+            services.get(service).map_or(0, |known| known.demand.last_planned(teller))
         });
         for pending in due {
             let answer = self.answer(&pending, now_ms);
@@ -124,7 +124,7 @@
                 let directory = &local_view.directory;
                 telling.view(asker, Known { state, service, directory, others, led, now_ms })
             });
-            view.planned = state.demand.planned(&pending.teller);
+            view.planned = state.demand.last_planned(&pending.teller);
             view.daemons = daemons as u32;
             view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -81,13 +81,13 @@
                 if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
                     break Some(STARTED_AGAIN.to_owned());
                 }
-                chain.reported(report.as_ref(), daemon.knowledge.now_ms());
+                chain.apply_report(report.as_ref(), daemon.knowledge.now_ms());
             }
             NextStep::Send(order, count) => {
                 let Some(answer) = give(&daemon, &client, &endpoint, &order, count).await else {
                     break Some("the lease has run out".to_owned());
                 };
-                chain.answered(answer, daemon.knowledge.now_ms());
+                chain.apply_answer(answer, daemon.knowledge.now_ms());
             }
         }
     };
@@ -139,7 +139,7 @@
     if !daemon.with_order_log(|log| log.may_order(&endpoint.name, now_ms)) {
         return None;
     }
-    daemon.with_order_log(|log| log.sent(&endpoint.name, now_ms + CALL_MS));
+    daemon.with_order_log(|log| log.record_send(&endpoint.name, now_ms + CALL_MS));
     let call = (daemon.wire.endpoint.order_call)(&endpoint.name, order, count, leader, token);
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => {
@@ -152,7 +152,7 @@
         }
     };
     let now_ms = daemon.knowledge.now_ms();
-    daemon.with_order_log(|log| log.ended(&endpoint.name, now_ms));
+    daemon.with_order_log(|log| log.record_end(&endpoint.name, now_ms));
     tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: Given.");
     Some(answer)
 }
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -175,7 +175,7 @@
     fn change_ended(&mut self, service: &ServiceName, engine: &Incarnation, chain: &OrderChain) {
         let now_ms = self.now_ms();
         if let Some(known) = self.services.get_mut(service) {
-            known.change_ended(engine, chain, now_ms);
+            known.finish_change(engine, chain, now_ms);
         }
         self.is_plan_due = true;
     }
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -118,10 +118,11 @@
         (name, ForeignEngine { endpoint, holds, running })
     });
     let engines = engines.collect();
-    let mut sharers = sharing::OtherLeaders { led: led.clone(), engines, ..Default::default() };
+    let mut sharers =
+        sharing::OtherLeaders { own_groups: led.clone(), engines, ..Default::default() };
     for other in others.live(now_ms) {
-        sharers.leaders += 1;
-        sharers.live.extend(other.led().iter().cloned());
+        sharers.other_leader_count += 1;
+        sharers.live_groups.extend(other.led().iter().cloned());
         sharers.planned.extend(other.planned(service).cloned());
         let Some(group) = other.led().first() else { continue };
         let coming = other.last_plan(service, now_ms).into_iter().flat_map(|(ready, _)| ready);
--- a/crates/trestle-entry/src/control/telling.rs
+++ b/crates/trestle-entry/src/control/telling.rs
@@ -135,14 +135,14 @@
     let tells_all = asker.is_leader || count <= READY_TOLD_TO_ALL;
     let mut soonest: BTreeMap<Loadable, u64> = BTreeMap::new();
     let mut note = |loadable: &Loadable, ms: u64, age_ms: u64| {
-        let ms = loadable::aged_ms(ms, age_ms);
+        let ms = loadable::remaining_ms(ms, age_ms);
         let known_ms = soonest.entry(loadable.clone()).or_insert(ms);
         *known_ms = (*known_ms).min(ms);
     };
     for (ready_in_ms, age_ms) in plans {
         match tells_all {
             true => ready_in_ms.iter().for_each(|(loadable, ms)| note(loadable, *ms, age_ms)),
-            false => loadable::ready_of(ready_in_ms, asker.models)
+            false => loadable::ready_times_of(ready_in_ms, asker.models)
                 .for_each(|(loadable, ms)| note(loadable, ms, age_ms)),
         }
     }
--- a/crates/trestle-lab/src/sim/leading.rs
+++ b/crates/trestle-lab/src/sim/leading.rs
@@ -168,7 +168,7 @@
         let answer = Answer {
             term: self.leader.term,
             view: self.leader.state.view(&self.service, directory, now_ms),
-            planned: self.leader.state.demand.planned(&vm),
+            planned: self.leader.state.demand.last_planned(&vm),
             list_version: of_leader,
             entries: entries.map(|(_, entry)| entry.clone()).collect(),
         };
@@ -247,7 +247,7 @@
         for (endpoint, _, chain) in begun {
             let engine = self.engines.iter().position(|engine| engine.name == endpoint.name);
             let Some(engine) = engine else {
-                self.leader.state.change_ended(&endpoint.incarnation(), &chain, now_ms);
+                self.leader.state.finish_change(&endpoint.incarnation(), &chain, now_ms);
                 continue;
             };
             let under_way =
@@ -272,7 +272,7 @@
         match next {
             NextStep::Done | NextStep::Failed(_) => {
                 if let Some(ended) = self.leader.under_way.remove(&engine) {
-                    self.leader.state.change_ended(&ended.incarnation, &ended.chain, now_ms);
+                    self.leader.state.finish_change(&ended.incarnation, &ended.chain, now_ms);
                 }
                 if self.now_us >= self.leader.planned_us + PLAN_GAP_US {
                     self.plan();
@@ -318,7 +318,7 @@
         }
         let now_ms = self.now_ms();
         if let Some(under_way) = self.leader.under_way.get_mut(&engine) {
-            under_way.chain.reported(report, now_ms);
+            under_way.chain.apply_report(report, now_ms);
             self.queue.push(self.now_us, Event::ChangeStep { term, engine });
         }
     }
@@ -385,7 +385,7 @@
         let Some(under_way) = self.leader.under_way.get_mut(&engine) else { return };
         under_way.answered += 1;
         if under_way.answered <= under_way.sent {
-            under_way.chain.answered(answer, now_ms);
+            under_way.chain.apply_answer(answer, now_ms);
             self.queue.push(self.now_us, Event::ChangeStep { term, engine });
         }
     }
