--- a/crates/trestle-dispatch/src/admission.rs
+++ b/crates/trestle-dispatch/src/admission.rs
@@ -1,8 +1,8 @@
 //! Decides whether a request waits for its model or is refused.
 //!
-//! The load that this answers: callers of many models, of which some are not loaded. The time limit
-//! of a request counts from the caller's first attempt, so a refusal gains nothing by itself: a
-//! caller that retries finds the model ready or is refused for good. So a request waits if its
+//! The load that this answers: callers of many models, of which some are not loaded. Whether an
+//! answer is on time counts from the caller's first attempt, so a refusal gains nothing by itself:
+//! a caller that retries finds the model ready or is refused for good. So a request waits if its
 //! model will be ready before its caller gives up. Otherwise it is refused at once, with the time
 //! at which the model will be ready. No request waits in vain, and none is refused that could have
 //! been served.
--- a/crates/trestle-dispatch/src/change.rs
+++ b/crates/trestle-dispatch/src/change.rs
@@ -1,4 +1,4 @@
-//! One change at one engine: what comes and what makes way.
+//! One change at one engine: what it loads and what it evicts.
 
 use crate::orders::Order;
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
@@ -8,35 +8,35 @@
 pub struct Change {
     /// The engine.
     pub endpoint: EndpointName,
-    /// Models that go.
+    /// Models to evict.
     pub evicted: Vec<ModelName>,
-    /// The model that comes, or whose adapter comes.
+    /// The model to load, or the model whose adapter is loaded.
     pub model: ModelName,
-    /// The adapter that comes.
+    /// The adapter to load, if the change loads one.
     pub adapter: Option<AdapterName>,
-    /// The adapter that goes.
+    /// The adapter to evict, if any, with its model.
     pub evicted_adapter: Option<(ModelName, AdapterName)>,
     /// Whether the weights come from the weight store.
     pub is_remote: bool,
-    /// Time that the load itself should take.
+    /// Expected time of the load itself.
     pub load_ms: u64,
-    /// When it should be done.
+    /// When the change should be done.
     pub done_at_ms: u64,
 }
 
-/// Least time that a change which is not done yet is said to take.
+/// Least remaining time reported for a change that is not done yet.
 const LEAST_LEFT_MS: u64 = 50;
-/// Part of the time by which it is overdue that it is said to take longer.
+/// The remaining time of an overdue change grows by the time that it is overdue divided by this.
 const OVERDUE_PART: u64 = 2;
 
 impl Change {
-    /// Time until it should be done; never 0, since it is not done yet.
+    /// Returns the expected time until the change is done; never 0.
     pub fn remaining_ms(&self, now_ms: u64) -> u64 {
         let overdue_ms = now_ms.saturating_sub(self.done_at_ms);
         self.done_at_ms.saturating_sub(now_ms).max(LEAST_LEFT_MS + overdue_ms / OVERDUE_PART)
     }
 
-    /// The orders that make the change.
+    /// Returns the orders that carry out the change.
     pub fn orders(&self) -> Vec<Order> {
         let mut orders: Vec<Order> =
             self.evicted.iter().map(|model| Order::UnloadModel(model.clone())).collect();
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -1,4 +1,4 @@
-//! What is asked for, as all daemons tell the leader.
+//! The demand of all callers, as daemons report it to the leader.
 
 use crate::{
     average::MovingAverage,
@@ -9,72 +9,71 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{AdapterName, EndpointName, ModelName, VmName};
 
-/// What a request counts against one that is more urgent by a step. Operators of the
-/// deployments credit their most urgent class with 7 to 9 times the next, and the classes
-/// below it about alike.
+/// Value of a request relative to one of the next higher priority. Operators of the deployments
+/// credit their most urgent class with 7 to 9 times the next, and the classes below it about alike.
 const URGENCY_STEP: f64 = 0.3;
-/// Time after which a daemon that tells nothing no longer counts.
+/// Time after its last report for which a daemon's report counts as current.
 const SILENT_MS: u64 = 2_000;
-/// Time in which the most requests that ran at once lose weight to 1/e: some streams' length,
-/// so that a replica is not given away between two of them.
+/// Time in which the peak number of running requests decays to 1/e: the length of some streams, so
+/// that a replica is not given up between two of them.
 const PEAK_MEMORY_MS: f64 = 3_000.0;
-/// Time after which the last use of an adapter is forgotten; those forgotten go first.
+/// Time for which the last use of an adapter is remembered; adapters without one are evicted first.
 const ADAPTER_MEMORY_MS: u64 = 60_000;
-/// Weight of the newest look in the average time that a request runs; plans look some ten
-/// times a second.
+/// Weight of the newest sample in the average running time of a request; a plan takes one sample,
+/// some ten times a second.
 const NEWEST_RUN_WEIGHT: f64 = 0.02;
-/// Time for which a daemon counts among those that share budgets.
+/// Time after its last report for which a daemon counts among those that share budgets.
 const COUNTED_MS: u64 = 30_000;
 
-/// What one daemon tells of one service.
+/// One daemon's demand for one service, as reported to a leader.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct DemandReport {
-    /// Number of the digest; each daemon counts its own.
+    /// Number of the report; each daemon counts its own.
     pub number: u64,
-    /// Requests that arrived since the last digest.
+    /// Requests that arrived since the last report, by model.
     pub arrivals: BTreeMap<ModelName, u32>,
-    /// All that arrived until now, for a leader that has not heard of it.
+    /// All arrivals so far, for a leader that has not received them yet.
     pub past: Option<Vec<PastArrivals>>,
     /// Requests that wait for a model.
     pub waiting: Vec<Waiting>,
-    /// Requests that run, by engine and model.
+    /// Running requests, by engine and model.
     pub running: BTreeMap<EndpointName, BTreeMap<ModelName, u32>>,
-    /// Requests that run, by engine and adapter.
+    /// Adapters in use, by engine.
     pub adapters_in_use: BTreeMap<EndpointName, Vec<(ModelName, AdapterName)>>,
-    /// Requests that run at engines that are not named, by model, as one leader tells another.
+    /// Running requests by model, at engines that are not named; only in reports between leaders.
     pub running_elsewhere: BTreeMap<ModelName, u32>,
 }
 
-/// Requests of one daemon that wait for the same thing, or will be back for it.
+/// Requests of one daemon that wait for the same model or adapter, or whose callers will retry.
 #[trestle_macros::key]
 pub struct Waiting {
-    /// Urgency of the most urgent; 0 goes first.
+    /// Priority of the most urgent request; 0 goes first.
     pub priority: u8,
     /// Time until the first of them is no longer on time.
     pub due_in_ms: u64,
     /// The model.
     pub model: ModelName,
-    /// The adapter, if it is one that is missing.
+    /// The adapter; `None` if they wait for the model alone.
     pub adapter: Option<AdapterName>,
-    /// How many.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// What a want counts for.
+/// The demand of all daemons for one model or adapter that is not ready.
 #[derive(Debug, Clone, Copy)]
 pub struct AggregateDemand<'a> {
     /// The model.
     pub model: &'a ModelName,
-    /// The adapter, if it is one that is missing.
+    /// The adapter; `None` if the requests wait for the model alone.
     pub adapter: Option<&'a AdapterName>,
-    /// Urgency of the most urgent request; 0 goes first.
+    /// Priority of the most urgent request; 0 goes first.
     pub priority: u8,
-    /// Time until the first of them is no longer on time.
+    /// Time until the first of the requests is no longer on time.
     pub due_in_ms: u64,
-    /// Requests that wait for it.
+    /// Number of requests that wait.
     pub count: u32,
-    /// The same, each by its urgency.
+    /// Sum of the requests, each weighted by its priority.
     pub value: f64,
 }
 
@@ -99,18 +98,18 @@
     }
 }
 
-/// What all daemons ask for, of one service.
+/// The demand of all daemons for one service.
 #[derive(Debug)]
 pub struct Demand {
     daemons: BTreeMap<VmName, Told>,
     rates: Rates,
-    /// The same of what daemons themselves tell, without what other leaders do.
+    /// Arrival rates by the daemons' own reports, without those of other leaders.
     own_rates: Rates,
-    /// Most requests that ran at once lately, by model.
+    /// Recent peaks of the number of running requests, by model.
     peaks: BTreeMap<ModelName, Peak>,
-    /// Since when somebody has waited for models that no engine holds.
+    /// Since when requests have waited for models that no engine holds.
     missing_since_ms: BTreeMap<ModelName, u64>,
-    /// Time that a request runs, on average.
+    /// Average running time of a request.
     run_s: MovingAverage,
     /// When adapters were last in use.
     adapters_used_ms: BTreeMap<(ModelName, AdapterName), u64>,
@@ -146,24 +145,24 @@
 #[derive(Debug)]
 struct Told {
     at_ms: u64,
-    /// Whether it leads other engines, and tells what its daemons have told it.
+    /// Whether the daemon leads other engines and reports for its own daemons.
     is_leader: bool,
-    /// Whether it has told what it remembers.
+    /// Whether the daemon has reported its past arrivals.
     has_remembered: bool,
-    /// Number of its last digest that a plan has looked at.
+    /// Number of the daemon's last report that a plan has included.
     last_planned: u64,
     digest: DemandReport,
 }
 
 impl Demand {
-    /// Takes what a daemon tells.
+    /// Records a report of a daemon.
     pub fn report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
         let has_remembered = self.has_remembered(&daemon);
         note_arrivals(&mut self.own_rates, &digest, has_remembered, now_ms);
         self.take(daemon, digest, false, now_ms);
     }
 
-    /// Takes what another leader tells of its daemons.
+    /// Records another leader's report for its daemons.
     pub fn leader_report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
         self.take(daemon, digest, true, now_ms);
     }
@@ -184,13 +183,15 @@
         self.daemons.insert(daemon, told);
     }
 
-    /// Number of the last digest of a daemon that a plan has looked at.
+    /// Returns the number of a daemon's last report that a plan has included; 0 if there is none.
     pub fn last_planned(&self, daemon: &VmName) -> u64 {
         self.daemons.get(daemon).map_or(0, |told| told.last_planned)
     }
 
-    /// Notes that a plan looks at all that was told, where engines hold these models. What a
-    /// daemon told counts as planned once everybody who sees to its wishes has planned.
+    /// Records that a plan includes all reports so far, given the models that engines hold.
+    ///
+    /// A daemon's report counts as planned once every leader responsible for its pending demand has
+    /// planned.
     pub fn record_plan(
         &mut self,
         held: &BTreeSet<ModelName>,
@@ -227,24 +228,25 @@
         self.peaks.retain(|_, peak| peak.decayed(now_ms) >= 0.5);
     }
 
-    /// Most requests for a model that ran at once lately.
+    /// Returns the recent peak of the number of running requests for a model.
     pub fn peak(&self, model: &ModelName, now_ms: u64) -> u32 {
         self.peaks.get(model).map_or(0, |peak| peak.decayed(now_ms).round() as u32)
     }
 
-    /// Time that a request runs, on average over all models: as many run at once as arrive in
-    /// that time.
+    /// Returns the running time of a request, in seconds, averaged over all models. It follows from
+    /// the number of running requests, which is the number that arrives in that time.
     pub fn run_s(&self) -> f64 {
         self.run_s.get().unwrap_or_default()
     }
 
-    /// For how long somebody has waited for a model that no engine holds.
+    /// Returns the time for which requests have waited for a model that no engine holds; 0 if none
+    /// do.
     pub fn missing_ms(&self, model: &ModelName, now_ms: u64) -> u64 {
         let since_ms = self.missing_since_ms.get(model);
         since_ms.map_or(0, |since_ms| now_ms.saturating_sub(*since_ms))
     }
 
-    /// Forgets daemons that have been silent for long.
+    /// Drops daemons that have been silent for long and other lapsed records.
     pub fn drop_lapsed(&mut self, now_ms: u64) {
         self.daemons.retain(|_, told| now_ms < told.at_ms + COUNTED_MS);
         self.rates.forget(now_ms);
@@ -252,23 +254,23 @@
         self.adapters_used_ms.retain(|_, at_ms| now_ms < *at_ms + ADAPTER_MEMORY_MS);
     }
 
-    /// Daemons that told something lately.
+    /// Returns the number of daemons that have reported lately.
     pub fn daemons(&self) -> usize {
         self.daemons.len()
     }
 
-    /// How often models are asked for.
+    /// Returns the arrival rates of the models.
     pub fn rates(&self) -> &Rates {
         &self.rates
     }
 
-    /// Everything that waits, added up over all daemons, the most urgent first.
+    /// Returns all pending demand, summed over the daemons, the most urgent first.
     pub fn aggregate(&self, now_ms: u64) -> Vec<AggregateDemand<'_>> {
         self.aggregate_where(now_ms, |_| true)
     }
 
-    /// The same, of what daemons themselves tell only models that pass; what another leader
-    /// tells, it asks for here.
+    /// Returns the pending demand of the daemons for what passes `is_here`, and all that other
+    /// leaders report, since they report only what this leader is responsible for.
     pub fn aggregate_where(
         &self,
         now_ms: u64,
@@ -289,7 +291,7 @@
         wants
     }
 
-    /// Requests that run now.
+    /// Returns the running requests.
     pub fn usage(&self, now_ms: u64) -> Usage<'_> {
         let mut usage = Usage::default();
         for digest in self.live(now_ms) {
@@ -305,12 +307,12 @@
         usage
     }
 
-    /// When an adapter was last in use, as far as is known.
+    /// Returns when an adapter was last in use; 0 if that is not known.
     pub fn adapter_used_ms(&self, adapter: &(ModelName, AdapterName)) -> u64 {
         self.adapters_used_ms.get(adapter).copied().unwrap_or_default()
     }
 
-    /// Whether a request with an adapter runs at an engine.
+    /// Returns whether a request with this adapter runs at an engine.
     pub fn uses_adapter(
         &self,
         endpoint: &EndpointName,
@@ -321,14 +323,14 @@
         of_engine.any(|adapters| adapters.contains(adapter))
     }
 
-    /// What daemons themselves wait for.
+    /// Returns what the daemons' own requests wait for.
     pub fn pending_loadables(&self, now_ms: u64) -> BTreeSet<Loadable> {
         let waiting = self.live_own(now_ms).flat_map(|digest| &digest.waiting);
         waiting.map(Waiting::loadable).collect()
     }
 
-    /// What another leader is told: of what daemons themselves tell, that which is about its
-    /// engines or about wishes that it sees to.
+    /// Returns the report to another leader: the daemons' own demand as far as it concerns that
+    /// leader's engines or is assigned to it.
     pub fn report_for(
         &self,
         is_its_engine: impl Fn(&EndpointName) -> bool,
@@ -367,7 +369,7 @@
         digest
     }
 
-    /// What daemons themselves have asked for until now, for a leader that has not heard of it.
+    /// Returns the daemons' own arrivals so far, for a leader that has not received them yet.
     pub fn own_history(&self, now_ms: u64) -> Vec<PastArrivals> {
         self.own_rates.history(now_ms)
     }
@@ -386,7 +388,7 @@
 }
 
 impl Waiting {
-    /// What they wait for.
+    /// Returns what the requests wait for.
     pub fn loadable(&self) -> Loadable {
         Loadable { model: self.model.clone(), adapter: self.adapter.clone() }
     }
@@ -398,7 +400,7 @@
     }
 }
 
-/// Notes what arrived, or all that did until now where that was not told before.
+/// Records the arrivals of a report, or all past ones if the sender had not reported them before.
 fn note_arrivals(rates: &mut Rates, digest: &DemandReport, has_remembered: bool, now_ms: u64) {
     match &digest.past {
         Some(past) if !has_remembered => rates.add_history(past, now_ms),
--- a/crates/trestle-dispatch/src/observed_times.rs
+++ b/crates/trestle-dispatch/src/observed_times.rs
@@ -1,16 +1,16 @@
-//! Times that the leader learns from the changes that it makes.
+//! Times that the leader observes in the changes that it makes.
 
 use crate::{
     average::MovingAverage,
     policy::{Mechanism, Policy},
 };
 
-/// Time that an unload waits for running requests, until one was seen.
+/// Time for which an unload waits for running requests, until one was observed.
 const FIRST_RUN_WAIT_MS: f64 = 2_800.0;
-/// Weight of the newest time in an average.
+/// Weight of the newest time in the average.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// Times that the leader learns.
+/// Times observed in changes.
 #[derive(Debug, Clone)]
 pub struct ObservedTimes {
     run_wait_ms: MovingAverage,
@@ -23,12 +23,12 @@
 }
 
 impl ObservedTimes {
-    /// Notes how long an unload has waited for requests that ran.
+    /// Records how long an unload waited for running requests.
     pub fn record_run_wait(&mut self, waited_ms: u64) {
         self.run_wait_ms.note(waited_ms as f64);
     }
 
-    /// Time that an unload waits for requests that run, on average.
+    /// Returns the average time for which an unload waits for running requests.
     pub fn run_wait_ms(&self, policy: &Policy) -> f64 {
         let learnt = self.run_wait_ms.get().filter(|_| policy.has(Mechanism::LearntTimes));
         learnt.unwrap_or(FIRST_RUN_WAIT_MS)
--- a/crates/trestle-dispatch/src/order_log.rs
+++ b/crates/trestle-dispatch/src/order_log.rs
@@ -1,36 +1,36 @@
-//! When engines last got orders, and from whom.
+//! When engines were last ordered, and by which VM.
 //!
-//! Orders of two machines must not come close after each other at one engine. A
-//! leader that steps down tells the others which engines it has ordered lately; its
-//! successor leaves just those alone for a while.
+//! Orders of two VMs must not reach one engine shortly after each other. A leader that steps down
+//! reports which engines it has ordered lately; its successor leaves only those alone for a time.
 
 use std::collections::BTreeMap;
 use trestle_core::names::EndpointName;
 
-/// Added to a quiet time, for differences in the pace of clocks.
+/// Added to a quiet time, for clock drift.
 const MARGIN_MS: u64 = 300;
 
-/// When engines last got orders, and from whom.
+/// When engines were last ordered, and by which VM.
 #[derive(Debug, Default)]
 pub struct OrderLog {
-    /// When the last order of this machine has arrived at the latest.
+    /// Latest time at which the last order of this VM arrives at each engine.
     own_ms: BTreeMap<EndpointName, u64>,
-    /// Until when engines are left alone because of other machines' orders.
+    /// Until when engines are left alone because of other VMs' orders.
     others_until_ms: BTreeMap<EndpointName, u64>,
 }
 
 impl OrderLog {
-    /// Notes an order that leaves now, and arrives by a time or never.
+    /// Records an order that is sent now and arrives before `arrives_by_ms` or never.
     pub fn record_send(&mut self, endpoint: &EndpointName, arrives_by_ms: u64) {
         self.own_ms.insert(endpoint.clone(), arrives_by_ms);
     }
 
-    /// Notes that an order was answered or given up on, so that it arrives no more.
+    /// Records that an order was answered or given up, so that it no longer arrives.
     pub fn record_end(&mut self, endpoint: &EndpointName, now_ms: u64) {
         self.own_ms.insert(endpoint.clone(), now_ms);
     }
 
-    /// Takes for how long each engine must be left alone, as a leader that stepped down says.
+    /// Records for how long each engine must be left alone, as reported by a leader that stepped
+    /// down.
     pub fn quiet_times_received(
         &mut self,
         quiet_for_ms: &BTreeMap<EndpointName, u64>,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether this machine may order an engine now, as far as others' orders go.
+    /// Returns whether the quiet time after other VMs' orders allows an order to an engine now.
     pub fn may_order(&self, endpoint: &EndpointName, now_ms: u64) -> bool {
         self.others_until_ms.get(endpoint).is_none_or(|until_ms| now_ms >= *until_ms)
     }
 
-    /// For how long another machine must leave engines alone, those for which it is no time
-    /// left out.
+    /// Returns for how long other VMs must leave engines alone; engines without such a time are
+    /// absent.
     pub fn quiet_for_ms(&mut self, quiet_ms: u64, now_ms: u64) -> BTreeMap<EndpointName, u64> {
         self.own_ms.retain(|_, at_ms| now_ms < *at_ms + quiet_ms + MARGIN_MS);
         self.others_until_ms.retain(|_, until_ms| now_ms < *until_ms);
--- a/crates/trestle-dispatch/src/orders.rs
+++ b/crates/trestle-dispatch/src/orders.rs
@@ -1,13 +1,13 @@
-//! The orders of one change at one engine, one after the other.
+//! The sequence of orders that carries out one change at one engine.
 //!
-//! An engine counts the orders that it accepts, and refuses one that expects
-//! another count. Every order here names the count it expects, so an order that
-//! got no answer cannot take effect after a later one: the same order is sent
-//! again with the same count, and whichever arrives second is refused.
+//! An engine counts the orders that it accepts and rejects an order that expects another count.
+//! Every order here names the count that it expects, so an order that got no answer cannot take
+//! effect after a later one: the same order is sent again with the same count, and the engine
+//! rejects whichever arrives second.
 //!
-//! Reports of engines are some hundred ms old, so they are asked for only where
-//! the count is not known. Whether a load is done is asked by giving the same
-//! order again: the engine says at once that it is fulfilled.
+//! Reports of engines are some hundred ms old, so they are requested only if the count is not
+//! known. Whether a load is done is found by sending the same order again: the engine answers at
+//! once that it is fulfilled.
 
 use crate::{
     catalog::EngineSpec,
@@ -16,90 +16,90 @@
 use std::{collections::BTreeSet, sync::Arc};
 use trestle_core::names::{AdapterName, ModelName};
 
-/// Pause before an order is sent again while the engine carries out an unload.
+/// Pause before an order is sent again while the engine is unloading.
 const BUSY_PAUSE_MS: u64 = 70;
-/// The same while it carries out a load that should be done.
+/// Pause before an order is sent again while the engine finishes a load that should be done.
 const SETTLE_PAUSE_MS: u64 = 50;
-/// Pause before an order is sent again that got no answer.
+/// Pause before an order without an answer is sent again.
 const UNANSWERED_PAUSE_MS: u64 = 100;
-/// Pause between two looks at an engine's report.
+/// Pause between two requests for an engine's report.
 const REPORT_PAUSE_MS: u64 = 100;
-/// Age that a report may have; one that came this long after the last accepted
-/// order tells the count truly.
+/// Largest age of a report; one received this long after the last accepted order has the right
+/// count.
 const REPORT_AGE_MS: u64 = 600;
-/// Time until a report shows what became of an adapter that was to go.
+/// Time until a report shows whether an adapter has been unloaded.
 const ADAPTER_REPORT_MS: u64 = 300;
-/// Longest time of an unload with nothing running: it takes 70 to 150 ms, and the next order
-/// is tried in steps of [`BUSY_PAUSE_MS`].
+/// Longest time of an unload while no request runs: it takes 70 to 150 ms, and the next order is
+/// tried in steps of [`BUSY_PAUSE_MS`].
 const IDLE_UNLOAD_MS: u64 = 220;
-/// Sends of one order without an answer after which the change is given up.
+/// Sends of one order without an answer after which the change fails.
 const MOST_UNANSWERED: u32 = 6;
-/// Refusals in a row after which the engine's report is looked at.
+/// Conflicts in a row after which the engine's report is requested.
 const CONFLICTS_BEFORE_LOOK: u32 = 6;
 
-/// One order.
+/// An order to an engine.
 #[trestle_macros::plain]
 pub enum Order {
     /// Load a model.
     LoadModel(ModelName),
-    /// Unload a model, with its adapters.
+    /// Unload a model with its adapters.
     UnloadModel(ModelName),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a loaded model.
     LoadAdapter(ModelName, AdapterName),
     /// Unload an adapter.
     UnloadAdapter(ModelName, AdapterName),
 }
 
-/// How an engine answered an order.
+/// An engine's answer to an order.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum OrderAnswer {
-    /// It is carrying the order out.
+    /// The engine is carrying out the order.
     Accepted,
-    /// The order is fulfilled already.
+    /// The order is already fulfilled.
     Fulfilled,
-    /// Another order is under way, or the count was another.
+    /// Another order is in progress, or the expected count is wrong.
     Conflict,
-    /// An order with a higher fencing number came before.
+    /// The engine has received an order with a higher fencing number.
     Fenced,
     /// Another endpoint answers at the address.
     Replaced,
-    /// The order makes no sense to the engine.
+    /// The engine does not understand the order or cannot carry it out.
     Invalid,
-    /// No answer: it may be carried out now, later or never.
+    /// No answer arrived: the order may be carried out now, later or never.
     Unknown,
 }
 
-/// What to do next.
+/// The next step of an order chain.
 #[trestle_macros::plain]
 pub enum NextStep {
     /// Send this order, expecting this count.
     Send(Order, u64),
-    /// Ask the engine for its report.
+    /// Request the engine's report.
     Report,
-    /// Everything is in place.
+    /// The change is done.
     Done,
-    /// The change cannot be made.
+    /// The change has failed.
     Failed(Failure),
 }
 
-/// Why a change cannot be made.
+/// Why a change failed.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum Failure {
-    /// The engine is gone, or another took its address.
+    /// The engine is gone, or another endpoint has its address.
     Replaced,
-    /// The engine did not answer for long.
+    /// The engine did not answer for too long.
     Silent,
-    /// Someone with a higher fencing number gives the orders.
+    /// Another leader with a higher fencing number gives orders.
     Fenced,
-    /// The engine refuses the order for good.
+    /// The engine rejects the order for good.
     Invalid,
-    /// The engine holds something else than was planned with.
+    /// The engine does not hold what the plan assumed.
     Changed,
 }
 
-/// The orders of one change at one engine.
+/// The sequence of orders that carries out one change at one engine.
 #[derive(Debug)]
 pub struct OrderChain {
     spec: Arc<EngineSpec>,
@@ -107,14 +107,14 @@
     at: usize,
     held: Held,
     order_count: u64,
-    /// Whether the count is certain enough to give an order by it.
+    /// Whether the count is certain enough to send an order with it.
     is_counted: bool,
-    /// Whether the last step was accepted, and must still be seen to be fulfilled.
+    /// Whether the last order was accepted and its effect is not confirmed yet.
     is_settling: bool,
-    /// Time that the load of the last step should take.
+    /// Expected time of the load in the last order.
     load_ms: u64,
     accepted_ms: u64,
-    /// When the first unload was accepted, and how long it took until the load was.
+    /// When the first unload was accepted, and how much later the load was.
     unload_ms: Option<u64>,
     unloaded_after_ms: Option<u64>,
     unanswered: u32,
@@ -124,10 +124,10 @@
 }
 
 impl OrderChain {
-    /// A change of an engine that holds this, if it has accepted that many orders.
+    /// Creates the chain for an engine that holds `held` and has accepted `order_count` orders.
     ///
-    /// Without a count the engine is asked first. `load_ms` is the time that the
-    /// load at the end of the change should take.
+    /// Without a count the engine's report is requested first. `load_ms` is the expected time of
+    /// the load at the end of the change.
     pub fn new(
         spec: Arc<EngineSpec>,
         steps: Vec<Order>,
@@ -158,7 +158,7 @@
         chain
     }
 
-    /// What to do, and not before when.
+    /// Returns the next step, and the earliest time for it.
     pub fn next(&self) -> (NextStep, u64) {
         let step = if self.is_settling { self.at.checked_sub(1) } else { Some(self.at) };
         let step = step.and_then(|at| self.steps.get(at));
@@ -171,7 +171,7 @@
         (next, self.not_before_ms)
     }
 
-    /// Takes the answer to the order that was sent last.
+    /// Records the answer to the order that was sent last.
     pub fn apply_answer(&mut self, answer: OrderAnswer, now_ms: u64) {
         if answer != OrderAnswer::Unknown {
             self.unanswered = 0;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes the engine's report; `None` if it did not answer.
+    /// Records the engine's report; `None` if the engine did not answer.
     pub fn apply_report(&mut self, report: Option<&EngineReport>, now_ms: u64) {
         self.not_before_ms = now_ms + REPORT_PAUSE_MS;
         let Some(report) = report else {
@@ -217,29 +217,29 @@
         self.check_room();
     }
 
-    /// What the engine holds once everything accepted so far is carried out.
+    /// Returns what the engine holds once all accepted orders are carried out.
     pub fn held(&self) -> &Held {
         &self.held
     }
 
-    /// Orders that the engine has accepted, if that is certain.
+    /// Returns the number of orders that the engine has accepted; `None` if it is not certain.
     pub fn order_count(&self) -> Option<u64> {
         (self.is_counted && self.unanswered == 0 && self.conflicts == 0).then_some(self.order_count)
     }
 
-    /// How long models that made way have waited for their requests to end; none if they
-    /// had none.
+    /// Returns how long evicted models have waited for their running requests; `None` if they had
+    /// none or the load is not accepted yet.
     pub fn run_wait_ms(&self) -> Option<u64> {
         let waited_ms = self.unloaded_after_ms?.checked_sub(IDLE_UNLOAD_MS)?;
         (waited_ms > 0).then_some(waited_ms)
     }
 
-    /// Whether the engine does not answer.
+    /// Returns whether the change failed because the engine does not answer.
     pub fn is_silent(&self) -> bool {
         self.failure == Some(Failure::Silent)
     }
 
-    /// Whether everything is in place.
+    /// Returns whether the change is done.
     pub fn is_done(&self) -> bool {
         self.next().0 == NextStep::Done
     }
@@ -249,7 +249,7 @@
         self.accepted_ms = now_ms;
         self.conflicts = 0;
         if self.is_settling {
-            // It was not there after all; the engine has begun again.
+            // The engine did not hold the model after all and has begun to load it again.
             self.not_before_ms = now_ms + self.load_ms;
             return;
         }
@@ -267,7 +267,7 @@
             Order::UnloadAdapter(..) => now_ms + ADAPTER_REPORT_MS,
         };
         self.is_settling = matches!(step, Order::LoadModel(_));
-        // An adapter in use goes when its requests have ended, and the engine is not busy
+        // An adapter in use is unloaded when its requests have ended, and the engine is not busy
         // meanwhile: only its report tells whether there is room.
         self.is_counted &= !matches!(step, Order::UnloadAdapter(..));
         self.at += 1;
@@ -283,9 +283,9 @@
         }
         let Some(step) = self.steps.get(self.at) else { return };
         apply(step, &mut self.held);
-        // An adapter that nobody uses goes at once, and that counts as an order; one that had
-        // gone by itself does not. A load that expects one order too many may be carried out
-        // seconds later, when others have filled the engine: 3 adapters in 2 places.
+        // An adapter that no request uses is unloaded at once, and that counts as an order; one
+        // that was already gone does not. A load that expects one order too many may be carried out
+        // seconds later, when other orders have filled the engine: 3 adapters in 2 slots.
         if matches!(step, Order::UnloadAdapter(..)) {
             self.order_count += 1;
             self.accepted_ms = now_ms;
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Gives the change up if the next step does not fit what the engine holds.
+    /// Fails the change if the next order does not fit what the engine holds.
     fn check_room(&mut self) {
         let Some(step) = self.steps.get(self.at) else { return };
         let adapters: usize = self.held.values().map(BTreeSet::len).sum();
@@ -336,7 +336,7 @@
     }
 }
 
-/// Whether an order's effect is there.
+/// Returns whether the effect of an order is in place.
 fn holds(order: &Order, held: &Held) -> bool {
     let has = |model: &ModelName, adapter: &AdapterName| {
         held.get(model).is_some_and(|adapters| adapters.contains(adapter))
--- a/crates/trestle-dispatch/src/placement_log.rs
+++ b/crates/trestle-dispatch/src/placement_log.rs
@@ -1,11 +1,11 @@
-//! Which engine can run what, told by change.
+//! Which engine can run what, reported incrementally.
 //!
-//! The load that this answers: some sixty daemons that ask one leader three times a second
-//! where models are, while 256 engines change 360 such facts a second. Told whole, with every
-//! name written out, that took 13 KB a daemon and second, and the leader's link carried 3.9
-//! MB/s where a small VM has 2.5. So a leader keeps a log of changes in which numbers stand for
-//! names, and tells each daemon what it lacks. A daemon that has missed more than the log
-//! keeps, or knows another leader's log, is told everything once.
+//! The load that this answers: some sixty daemons that sync with one leader three times a second
+//! while 256 engines change 360 placements a second. Full reports with all names took 13 KB per
+//! daemon and second, and the leader's link carried 3.9 MB/s where a small VM has 2.5. So a leader
+//! keeps a log of changes in which numbers stand for names, and sends each daemon the part that it
+//! lacks. A daemon that has missed more than the log keeps, or has the log of another leader, gets
+//! a full report once.
 
 use crate::{endpoint::Held, loadable::Loadable};
 use std::{
@@ -14,15 +14,15 @@
 };
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
-/// Changes that are kept: some ten seconds of a large deployment's. Whoever has missed more is
-/// told everything, which is then no longer than the changes.
+/// Number of changes that are kept: those of some ten seconds in a large deployment. A daemon that
+/// has missed more gets a full report, which is then no longer than the changes.
 const KEPT_CHANGES: usize = 4_096;
 
-/// A change of what one engine can run, in the numbers of one log.
+/// A change of what one engine can run; numbers stand for the names of the log.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum PlacementChange {
-    /// An engine is there.
+    /// An engine is listed.
     Listed {
         /// The engine.
         engine: u32,
@@ -39,7 +39,7 @@
         /// The model.
         model: u32,
     },
-    /// It no longer can.
+    /// An engine can no longer run a model.
     NoModel {
         /// The engine.
         engine: u32,
@@ -55,7 +55,7 @@
         /// The adapter.
         adapter: u32,
     },
-    /// It no longer can.
+    /// An engine can no longer run an adapter of a model.
     NoAdapter {
         /// The engine.
         engine: u32,
@@ -70,33 +70,33 @@
 #[trestle_macros::plain]
 #[derive(Copy, Default)]
 pub struct PlacementPosition {
-    /// The log, by its random number.
+    /// The random number that identifies the log.
     pub log: u64,
-    /// Changes that it has taken.
+    /// Number of changes applied.
     pub sequence: u64,
-    /// Names that it has numbers for.
+    /// Number of names known.
     pub names: u32,
 }
 
-/// What a daemon lacks of a log.
+/// The part of a log that a daemon lacks.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct PlacementDelta {
-    /// The log, by its random number.
+    /// The random number that identifies the log.
     pub log: u64,
-    /// The change up to which this leads.
+    /// Number of changes of the log up to the end of this part.
     pub sequence: u64,
-    /// Whether what is not named is not there.
+    /// Whether this is a full report, so that engines and models that it does not name are absent.
     pub is_whole: bool,
     /// The number of the first name.
     pub first_name: u32,
-    /// Names, numbered one after the other.
+    /// Names, numbered consecutively.
     pub names: Vec<Arc<str>>,
     /// Changes, in their order.
     pub changes: Vec<PlacementChange>,
 }
 
-/// Numbers that stand for names.
+/// A mapping between names and numbers.
 #[derive(Debug, Default)]
 struct Numbers {
     names: Vec<Arc<str>>,
@@ -104,7 +104,7 @@
 }
 
 impl Numbers {
-    /// The number of a name, a new one if it has none.
+    /// Returns the number of a name; assigns a new one if it has none.
     fn of(&mut self, name: &str) -> u32 {
         match self.numbers.get(name) {
             Some(number) => *number,
@@ -124,19 +124,19 @@
     }
 }
 
-/// What engines can run, and how it has changed, as a leader keeps it.
+/// What engines can run, and its changes, as a leader keeps it.
 #[derive(Debug)]
 pub struct PlacementLog {
     id: u64,
     numbers: Numbers,
     engines: BTreeMap<u32, (EndpointName, Held)>,
     changes: VecDeque<PlacementChange>,
-    /// The number of the change after the last.
+    /// Number of changes recorded so far.
     sequence: u64,
 }
 
 impl PlacementLog {
-    /// An empty log with a random number.
+    /// Creates an empty log that is identified by a random number.
     pub fn new(id: u64) -> Self {
         Self {
             id,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes what engines can run now; those that are not named are gone.
+    /// Records what engines can run now; engines that are not named are gone.
     pub fn update<'a>(&mut self, engines: impl Iterator<Item = (&'a EndpointName, &'a Held)>) {
         let mut gone: BTreeSet<u32> = self.engines.keys().copied().collect();
         for (name, holds) in engines {
@@ -205,7 +205,7 @@
         self.sequence += 1;
     }
 
-    /// What a daemon lacks that has so much.
+    /// Returns what a daemon with this position lacks.
     pub fn delta(&self, have: PlacementPosition) -> PlacementDelta {
         let kept_since = self.sequence - self.changes.len() as u64;
         let is_known = have.log == self.id && (kept_since..=self.sequence).contains(&have.sequence);
@@ -245,12 +245,12 @@
         changes
     }
 
-    /// Changes noted so far.
+    /// Returns the number of changes recorded so far.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// What engines have become able to run since a change, as far as that is kept.
+    /// Returns what engines have become able to run since a change, as far as the log reaches back.
     pub fn loaded_since(&self, sequence: u64) -> BTreeSet<Loadable> {
         let kept_since = self.sequence - self.changes.len() as u64;
         let from = sequence.clamp(kept_since, self.sequence) - kept_since;
@@ -267,23 +267,23 @@
         arrived.collect()
     }
 
-    /// The engines, in the order in which their loads are told.
+    /// Returns the engines, in the order in which their loads are reported.
     pub fn engines(&self) -> impl Iterator<Item = &EndpointName> {
         self.engines.values().map(|(name, _)| name)
     }
 
-    /// The log, by its random number.
+    /// Returns the random number that identifies the log.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The name that a number stands for.
+    /// Returns the name for a number.
     pub fn name(&self, number: u32) -> Option<&Arc<str>> {
         self.numbers.name(number)
     }
 }
 
-/// A copy of a leader's log, as a daemon that asks it keeps it.
+/// A copy of a leader's log at a daemon.
 #[derive(Debug, Default)]
 pub struct PlacementMirror {
     log: u64,
@@ -293,14 +293,14 @@
 }
 
 impl PlacementMirror {
-    /// How much of the log it has.
+    /// Returns how much of the log the copy has.
     pub fn position(&self) -> PlacementPosition {
         let names = self.numbers.names.len() as u32;
         PlacementPosition { log: self.log, sequence: self.sequence, names }
     }
 
-    /// Takes what it lacks. A delta that does not follow on what it has, as one that was
-    /// overtaken by another, is left out; the next one then tells everything.
+    /// Applies a delta. One that does not continue the copy, because another overtook it, is
+    /// dropped with the copy; the next delta is then a full report.
     pub fn apply_delta(&mut self, delta: PlacementDelta) {
         if delta.is_whole {
             *self = Self { log: delta.log, ..Self::default() };
@@ -373,12 +373,12 @@
         self.numbers.name(number).map(|name| AdapterName::from(Arc::clone(name)))
     }
 
-    /// What engines can run, in the order in which their loads are told.
+    /// Returns what engines can run, in the order in which their loads are reported.
     pub fn engines(&self) -> impl Iterator<Item = (&EndpointName, &Held)> {
         self.engines.values().map(|(name, holds)| (name, holds))
     }
 
-    /// The number that stands for a name.
+    /// Returns the number for a name.
     pub fn number(&self, name: &str) -> Option<u32> {
         self.numbers.numbers.get(name).copied()
     }
--- a/crates/trestle-dispatch/src/placing.rs
+++ b/crates/trestle-dispatch/src/placing.rs
@@ -1,13 +1,13 @@
-//! Which engine loads which model, and what makes way for it.
+//! Plans which engine loads which model and what it evicts for it.
 //!
-//! The load that this answers: more models than places, a few asked for all the time and many
-//! now and then, and demand that moves within seconds. Loads from an engine's own disk are
-//! quick, so a model that somebody waits for is brought in where it arrives soonest and
-//! displaces what is worth least; but never what is worth more ([`worth`]), or the rare models
-//! would take the places of the busy ones one by one. Loads from the weight store are few and
-//! long, so they go to what most wait for ([`far`]). Room that is free is left for what
-//! somebody will wait for: an engine that loads ahead of demand takes no other order
-//! meanwhile, for 6 s if the weights come from the store.
+//! The load that this answers: more models than room, a few in demand all the time and many now and
+//! then, and demand that shifts within seconds. Loads from an engine's own disk are quick, so a
+//! model in demand is loaded where it will be ready soonest and evicts the models of least value.
+//! It never evicts models of more value ([`value`]), or the rare models would evict the busy ones
+//! one by one. Loads from the weight store are few and long, so they go to the models with the
+//! largest demand ([`remote`]). Free room is left for future demand: an engine that loads a model
+//! ahead of demand carries out no other order meanwhile, for 6 s if the weights come from the
+//! store.
 
 mod adapters;
 mod eviction;
@@ -29,74 +29,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
-/// Models looked at for a further replica, those that gain most first, where several leaders
-/// share them: some belong at others' engines.
+/// Number of models considered for a further replica, in the order of their gain, if there are
+/// several leaders: some of the models belong at other leaders' engines.
 const FURTHER_TRIED: usize = 4;
-/// What a fully loaded engine counts against one that is idle.
+/// Cost of a fully loaded engine compared with an idle one, as time.
 const FULL_ENGINE_MS: f64 = 800.0;
-/// Time of an unload with nothing running, as engines show it.
+/// Time of an unload while no request runs.
 const UNLOAD_MS: u64 = 150;
 
-/// What the leader knows of one engine.
+/// The leader's view of one engine.
 #[derive(Debug)]
 pub struct EngineState<'a> {
-    /// Its entry.
+    /// The engine's entry.
     pub endpoint: &'a Endpoint,
-    /// What it holds once everything accepted is carried out.
+    /// What the engine holds once all accepted orders are carried out.
     pub held: &'a Held,
-    /// When models have arrived there.
+    /// When models were loaded there.
     pub arrived_ms: &'a BTreeMap<ModelName, u64>,
-    /// The change that is under way.
+    /// The change in progress, if any.
     pub change: Option<&'a Change>,
     /// Whether a change may begin there now.
     pub may_change: bool,
 }
 
 impl EngineState<'_> {
-    /// Models that it holds and will go on holding.
+    /// Returns the models that the engine holds and is not about to evict.
     fn staying(&self) -> impl Iterator<Item = &ModelName> {
         let coming = self.coming();
         self.held.keys().filter(move |model| !self.goes(model) && Some(*model) != coming)
     }
 
-    /// The model that is on its way to it.
+    /// Returns the model that the engine is loading.
     fn coming(&self) -> Option<&ModelName> {
         self.change.filter(|change| change.adapter.is_none()).map(|change| &change.model)
     }
 
-    /// Whether a model is about to go.
+    /// Returns whether the change in progress evicts a model.
     fn goes(&self, model: &ModelName) -> bool {
         self.change.is_some_and(|change| change.evicted.contains(model))
     }
 }
 
-/// What to change now, and when what is waited for will be ready.
+/// The result of planning.
 #[derive(Debug, Default)]
 pub struct Plan {
-    /// Changes to begin.
+    /// Changes to begin now.
     pub changes: Vec<Change>,
-    /// Time until something that is waited for should be ready.
+    /// Expected time until each model or adapter in demand is ready.
     pub ready_in_ms: BTreeMap<Loadable, u64>,
 }
 
-/// Everything that planning looks at, but for the engines.
+/// The inputs of planning other than the engines.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanInputs<'a> {
     /// What engines of the service can hold.
     pub spec: &'a EngineSpec,
-    /// What is asked for.
+    /// The demand of all callers.
     pub demand: &'a Demand,
-    /// Times that were observed.
+    /// Times observed in earlier changes.
     pub observed_times: &'a ObservedTimes,
-    /// What decides.
+    /// The mechanisms in use.
     pub policy: &'a Policy,
-    /// What other leaders see to.
+    /// What other leaders are responsible for.
     pub sharing: &'a Sharing,
     /// Time on the monotonic clock.
     pub now_ms: u64,
 }
 
-/// One plan in the making.
+/// The state of one planning run.
 #[derive(Debug)]
 pub struct Planner<'a> {
     spec: &'a EngineSpec,
@@ -107,28 +107,29 @@
     usage: Usage<'a>,
     engines: BTreeMap<&'a EndpointName, EngineState<'a>>,
     now_ms: u64,
-    /// Engines that hold a model and will go on holding it, or are about to; those that other
-    /// leaders order included.
+    /// Number of engines, by model, that hold it and are not about to evict it, or are loading it;
+    /// includes engines of other leaders.
     replicas: BTreeMap<ModelName, u32>,
-    /// Engines that hold a model now and will go on holding it, likewise.
+    /// Number of engines, by model, that hold it now and are not about to evict it; includes
+    /// engines of other leaders.
     present: BTreeMap<ModelName, u32>,
     /// Models that engines of other leaders can run.
     elsewhere: BTreeSet<&'a ModelName>,
-    /// Engines with a copy of a model near them.
+    /// Engines with a local copy of each model's weights.
     near: BTreeMap<&'a ModelName, Vec<&'a EndpointName>>,
-    /// Models that somebody waits for.
+    /// Models in demand.
     waited_for: BTreeSet<&'a ModelName>,
-    /// Adapters that somebody waits for.
+    /// Adapters in demand.
     wanted_adapters: BTreeSet<(&'a ModelName, &'a AdapterName)>,
-    /// What could make way, by engine; many models are offered the same places, so that this
-    /// is worked out only when something has changed.
+    /// What each engine could evict. Many models are tried at the same engines, so this is computed
+    /// again only where it has changed.
     leavers: Option<BTreeMap<&'a EndpointName, Leavers>>,
     remote_loads: usize,
     plan: Plan,
 }
 
 impl<'a> Planner<'a> {
-    /// Planning for one service.
+    /// Creates the planner of one service.
     pub fn new(inputs: PlanInputs<'a>, engines: impl IntoIterator<Item = EngineState<'a>>) -> Self {
         let PlanInputs { spec, demand, observed_times: learnt, policy, sharing, now_ms } = inputs;
         let engines: BTreeMap<_, _> =
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Plans.
+    /// Returns the plan.
     pub fn plan(mut self) -> Plan {
         let wants = self.demand.aggregate(self.now_ms);
         self.waited_for = wants.iter().map(|want| want.model).collect();
@@ -188,7 +189,7 @@
         self.plan
     }
 
-    /// Sees to a model that somebody waits for; returns whether that was possible.
+    /// Plans for a model in demand; returns whether it is ready, loading or going to be loaded.
     fn want_model(&mut self, want: &AggregateDemand<'a>, reach: Reach) -> bool {
         let model = want.model;
         if self.plan.ready_in_ms.contains_key(&Loadable::model(model)) {
@@ -207,7 +208,7 @@
         true
     }
 
-    /// Notes when a model will be ready, and the adapter that is wanted with it.
+    /// Records when a model, and the adapter in demand with it, will be ready.
     fn note_ready(&mut self, want: &AggregateDemand<'_>, ready_in_ms: u64) {
         self.plan.ready_in_ms.insert(Loadable::model(want.model), ready_in_ms);
         if let Some(adapter) = want.adapter {
@@ -233,7 +234,7 @@
         self.plan.changes.push(change);
     }
 
-    /// Has what could make way worked out anew at the engines that hold what goes.
+    /// Computes again what can be evicted at the engines that hold a model evicted by this change.
     fn note_stale(&mut self, change: &Change) {
         let Some(mut leavers) = self.leavers.take() else { return };
         let loses = |state: &EngineState<'_>| {
@@ -245,7 +246,7 @@
         self.leavers = Some(leavers);
     }
 
-    /// Time until the model is ready somewhere by what is there or under way.
+    /// Returns the time until a model is ready anywhere, from what is loaded or loading.
     fn ready_in_ms(&self, model: &ModelName) -> Option<u64> {
         if self.elsewhere.contains(model) {
             return Some(0);
@@ -262,9 +263,10 @@
         ready.chain(planned).min()
     }
 
-    /// The cheapest way to bring a model in that displaces less than `gain_ms`. Where a copy
-    /// lies near an engine that can take it, the weight store is not looked at: looking at every
-    /// engine for every wish took two thirds of a plan's time.
+    /// Returns the cheapest way to load a model that evicts less value than `gain_ms`.
+    ///
+    /// The weight store is considered only if no engine with a local copy can load the model:
+    /// considering every engine for every demand took two thirds of the time of a plan.
     fn best_offer(&mut self, model: &ModelName, gain_ms: f64, reach: Reach) -> Option<Offer> {
         let spec = self.spec.models.get(model)?;
         let leavers = self.leavers.take().unwrap_or_else(|| self.leavers());
@@ -294,7 +296,8 @@
         offers.min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))
     }
 
-    /// What it would take to bring a model in at an engine.
+    /// Returns the cost and the outcome of loading a model at one engine; `None` if that is not
+    /// possible.
     fn offer(
         &self,
         model: &ModelName,
@@ -333,22 +336,23 @@
         Some(Offer { change, ready_in_ms, cost_ms, miss_ms: eviction.miss_ms })
     }
 
-    /// The change that this plan begins at an engine.
+    /// Returns the change that this plan begins at an engine.
     fn planned_at(&self, endpoint: &EndpointName) -> Option<&Change> {
         self.plan.changes.iter().find(|change| change.endpoint == *endpoint)
     }
 
-    /// Engines that hold the model and will go on holding it, or are about to.
+    /// Returns the number of engines that hold a model and are not about to evict it, or are
+    /// loading it.
     fn replicas(&self, model: &ModelName) -> u32 {
         self.replicas.get(model).copied().unwrap_or_default()
     }
 
-    /// Engines that hold the model now and will go on holding it.
+    /// Returns the number of engines that hold a model now and are not about to evict it.
     fn present(&self, model: &ModelName) -> u32 {
         self.present.get(model).copied().unwrap_or_default()
     }
 
-    /// Brings in one more replica of the model that it helps most, where it displaces less.
+    /// Loads a further replica of the model that gains most by it, if that evicts less value.
     fn want_further_replica(&mut self) {
         if !self.policy.has(Mechanism::FurtherReplicas) {
             return;
@@ -377,7 +381,7 @@
 }
 
 impl Planner<'_> {
-    /// Whether the next replica of a model belongs at this leader's engines.
+    /// Returns whether the next replica of a model belongs at this leader's engines.
     fn is_next_here(&self, model: &ModelName) -> bool {
         if self.sharing.is_alone() {
             return true;
@@ -393,7 +397,7 @@
     }
 }
 
-/// Engines with a copy of each model near them.
+/// Returns the engines with a local copy of each model's weights.
 fn near<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
 ) -> BTreeMap<&'a ModelName, Vec<&'a EndpointName>> {
@@ -406,25 +410,25 @@
     near
 }
 
-/// From where weights may come.
+/// Where weights may be loaded from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reach {
-    /// From a copy near the engine.
+    /// From a copy in the engine's memory or on its disk.
     Near,
     /// Also from the weight store.
     Far,
 }
 
-/// What it would take to bring a model in at one engine.
+/// One way to load a model, at one engine.
 struct Offer {
-    /// The change; none while another is under way there.
+    /// The change; `None` while another one is in progress there.
     change: Option<Change>,
     ready_in_ms: u64,
     cost_ms: f64,
     miss_ms: f64,
 }
 
-/// How often each model comes.
+/// Counts the occurrences of each model.
 fn count<'a>(models: impl Iterator<Item = &'a ModelName>) -> BTreeMap<ModelName, u32> {
     let mut counts = BTreeMap::new();
     for model in models {
--- a/crates/trestle-dispatch/src/placing/adapters.rs
+++ b/crates/trestle-dispatch/src/placing/adapters.rs
@@ -1,9 +1,8 @@
-//! Adapters: they go where their model is, and idle ones make way.
+//! Plans adapters: they are loaded where their model is, and idle ones are evicted.
 //!
-//! The load that this answers: an adapter loads in some ms, but an engine carries out one
-//! order at a time, so one that is busy with a model may keep the adapter waiting for
-//! seconds. Whoever waits for an adapter is told when it will be there, or would be held for
-//! as long as its model stands ready.
+//! The load that this answers: an adapter loads in some ms, but an engine carries out one order at
+//! a time, so an engine that loads a model may delay an adapter by seconds. Requests for an adapter
+//! get the time until it is ready, or they would wait for it whenever their model is ready.
 
 use super::{EngineState, Planner, UNLOAD_MS};
 use crate::{change::Change, loadable::Loadable};
@@ -11,11 +10,11 @@
 use trestle_core::names::{AdapterName, ModelName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time of an adapter's load with its order: 5 to 10 ms, and the way there and back.
+/// Time to load an adapter: 5 to 10 ms, plus the order's round trip.
 pub(super) const LOAD_MS: u64 = 20;
 
 impl<'a> Planner<'a> {
-    /// Brings an adapter in at one of its model's replicas, the same one each time.
+    /// Loads an adapter at one replica of its model, the same one each time.
     pub(super) fn want_adapter(&mut self, model: &'a ModelName, adapter: &'a AdapterName) {
         let loadable = Loadable::new(model, Some(adapter));
         if self.plan.ready_in_ms.contains_key(&loadable) {
@@ -35,7 +34,7 @@
         self.plan.ready_in_ms.insert(loadable, ready_in_ms);
     }
 
-    /// Time until an adapter is ready by what is there or under way.
+    /// Returns the time until an adapter is ready, from what is loaded or loading.
     fn adapter_ready_in_ms(&self, model: &ModelName, adapter: &AdapterName) -> Option<u64> {
         let is_there = self.engines.values().any(|state| {
             let has = state.held.get(model).is_some_and(|adapters| adapters.contains(adapter));
@@ -62,7 +61,7 @@
         })
     }
 
-    /// A change that brings an adapter in, if an engine is free for one.
+    /// Returns a change that loads an adapter; `None` if no engine can begin one.
     fn bring_adapter(&self, model: &ModelName, adapter: &AdapterName) -> Option<Change> {
         let spec = self.spec.models.get(model)?;
         let key = (model.clone(), adapter.clone());
@@ -98,13 +97,13 @@
         })
     }
 
-    /// Notes when the first engine with the model will be free for the adapter.
+    /// Records when the first engine with the model can load the adapter.
     fn note_host_ready(&mut self, loadable: Loadable) {
         let free_in_ms = self.hosts(&loadable.model).map(|state| {
             let change = state.change.or_else(|| self.planned_at(&state.endpoint.name));
             match change {
                 Some(change) => change.remaining_ms(self.now_ms),
-                // All of its adapters are in use.
+                // All adapters of the engine are in use.
                 None => self.observed_times.run_wait_ms(self.policy) as u64,
             }
         });
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Engines that hold a model and will go on holding it, or are about to.
+    /// Returns the engines that hold a model and are not about to evict it, or are loading it.
     fn hosts<'b>(&'b self, model: &'b ModelName) -> impl Iterator<Item = &'b EngineState<'a>> {
         self.engines.values().filter(move |state| {
             let planned = self.planned_at(&state.endpoint.name);
@@ -123,9 +122,11 @@
         })
     }
 
-    /// The adapter at an engine that was used longest ago, among those that nobody uses or
-    /// waits for. Two that both somebody waits for must not take each other's place: they did
-    /// so 60 times a second for 2 s, and the engine took no other order meanwhile.
+    /// Returns the least recently used adapter of an engine, among those that are neither in use
+    /// nor in demand.
+    ///
+    /// Two adapters in demand must not evict each other: they did so 60 times a second for 2 s, and
+    /// the engine carried out no other order meanwhile.
     fn idle_adapter(
         &self,
         state: &EngineState<'_>,
--- a/crates/trestle-dispatch/src/placing/eviction.rs
+++ b/crates/trestle-dispatch/src/placing/eviction.rs
@@ -1,23 +1,23 @@
-//! What makes way at an engine.
+//! Plans which models an engine evicts.
 
 use super::{EngineState, Planner};
 use crate::policy::Mechanism;
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{EndpointName, ModelName};
 
-/// Time for which a model stays once it has arrived, for those it was loaded for.
+/// Time for which a loaded model is kept for the requests that it was loaded for.
 const SETTLE_MS: u64 = 1_500;
 
-/// Models that make way together.
+/// Models to evict together.
 pub(super) struct Eviction {
     pub(super) models: Vec<ModelName>,
-    /// What their going loses.
+    /// Value lost by their eviction, as delay of callers.
     pub(super) miss_ms: f64,
-    /// Time until the last of their requests has ended.
+    /// Time until the last of their running requests has ended.
     pub(super) run_wait_ms: f64,
 }
 
-/// What could make way at one engine, that which is missed least first.
+/// The models that one engine could evict, in the order of their cost.
 #[derive(Debug)]
 pub(super) struct Leavers {
     free_mb: u64,
@@ -33,8 +33,9 @@
 }
 
 impl Leaver {
-    /// What its going counts, for each MB that it gives back: two small models are worth more
-    /// than one large one. Worth 0.011 of a played day's worth (24 seeds of a small fleet).
+    /// Returns the cost of the eviction, per MB of freed memory if `is_by_size`: two small models
+    /// have more value than one large one. In simulated days of a small fleet (24 seeds) this
+    /// gained 0.011 of a day's value.
     fn cost(&self, is_by_size: bool) -> f64 {
         let cost_ms = self.miss_ms + self.run_wait_ms;
         if is_by_size { cost_ms / self.mb.max(1) as f64 } else { cost_ms }
@@ -42,7 +43,7 @@
 }
 
 impl Leavers {
-    /// The models whose going makes room and is missed least.
+    /// Returns the cheapest eviction that frees enough memory; `None` if there is none.
     pub(super) fn make_room(&self, needed_mb: u64) -> Option<Eviction> {
         let mut free_mb = self.free_mb;
         let mut eviction = Eviction { models: Vec::new(), miss_ms: 0.0, run_wait_ms: 0.0 };
@@ -60,7 +61,7 @@
 }
 
 impl<'a> Planner<'a> {
-    /// What could make way, by engine.
+    /// Returns what each engine could evict.
     pub(super) fn leavers(&self) -> BTreeMap<&'a EndpointName, Leavers> {
         self.engines.iter().map(|(name, state)| (*name, self.leavers_at(state))).collect()
     }
@@ -82,8 +83,8 @@
         Leavers { free_mb, models }
     }
 
-    /// What the going of a model from an engine loses, and the time until its requests there
-    /// have ended; `None` if it must stay.
+    /// Returns the value lost by evicting a model from an engine, and the time until its running
+    /// requests there have ended; `None` if the model must stay.
     fn loss(&self, model: &ModelName, state: &EngineState<'_>) -> Option<(f64, f64)> {
         let is_new =
             state.arrived_ms.get(model).is_some_and(|at_ms| self.now_ms < at_ms + SETTLE_MS);
--- a/crates/trestle-dispatch/src/policy.rs
+++ b/crates/trestle-dispatch/src/policy.rs
@@ -1,40 +1,41 @@
-//! Mechanisms that can be left out, so that each one's worth can be measured.
+//! Mechanisms that can be disabled, to measure the value of each.
 
 use std::{collections::BTreeSet, fmt, str::FromStr};
 
-/// A mechanism that can be left out.
+/// A mechanism that can be disabled.
 #[trestle_macros::key]
 #[derive(Copy)]
 pub enum Mechanism {
-    /// Of two endpoints picked at random the less loaded gets a request; left out, the least
-    /// loaded of all does.
+    /// Of two endpoints picked at random, the less loaded one gets a request; without it, the least
+    /// loaded endpoint of all does.
     TwoChoices,
-    /// A request waits where its model will be ready while its caller stays; left out, only
-    /// where it will be ready within the objective.
+    /// A request waits if its model will be ready before its caller gives up; without it, only if
+    /// the model will be ready within the objective.
     WaitWhileCallerStays,
-    /// What a refused caller will ask for again is kept for it.
+    /// The demand of a refused caller is kept until it retries.
     KeepForReturning,
-    /// A model makes way only for one that is worth more; left out, for any that somebody
-    /// waits for.
+    /// A model is evicted only for one of more value; without it, for any model in demand.
     GuardedEviction,
     /// Busy models get further replicas.
     FurtherReplicas,
-    /// Loads from the weight store go to what most wait for; left out, to the most urgent.
+    /// Loads from the weight store go to the models with the largest demand; without it, to the
+    /// most urgent.
     FarLoadsByValue,
-    /// A model with a copy near an engine waits for room there rather than for the weight store.
+    /// A model with a local copy at an engine waits for room there rather than for the weight
+    /// store.
     WaitForNearCopies,
-    /// Without a leader, a request waits for the next one where its caller stays as long.
+    /// Without a leader, a request waits for the next one if its caller stays that long.
     AwaitLeader,
-    /// Of what could make way, the largest goes first among equals.
+    /// Among models of equal value, the largest is evicted first.
     EvictionBySize,
-    /// Times of unloads are learnt; left out, they are as once measured.
+    /// Unload times are observed and averaged; without it, they are constant.
     LearntTimes,
     /// Demand that rises within two seconds counts at once.
     Surges,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 11] = [
         Self::TwoChoices,
         Self::WaitWhileCallerStays,
@@ -49,7 +50,7 @@
         Self::Surges,
     ];
 
-    /// Its name in settings and tables.
+    /// Returns the name of the mechanism in settings and tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::TwoChoices => "two_choices",
@@ -73,7 +74,7 @@
     }
 }
 
-/// No mechanism has this name.
+/// The error for a name that no mechanism has.
 #[trestle_macros::plain]
 pub struct UnknownMechanism {
     /// The name.
@@ -98,7 +99,7 @@
     }
 }
 
-/// Which mechanisms decide; all but those that are left out.
+/// The mechanisms in use: all but the disabled ones.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct Policy {
@@ -106,12 +107,12 @@
 }
 
 impl Policy {
-    /// All but these.
+    /// Returns a policy with all mechanisms but these.
     pub fn without(mechanisms: impl IntoIterator<Item = Mechanism>) -> Self {
         Self { without: mechanisms.into_iter().collect() }
     }
 
-    /// Whether a mechanism decides.
+    /// Returns whether a mechanism is in use.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.without.contains(&mechanism)
     }
--- a/crates/trestle-dispatch/src/rates.rs
+++ b/crates/trestle-dispatch/src/rates.rs
@@ -1,26 +1,26 @@
-//! How often models are asked for.
+//! Request rates of models.
 //!
-//! Each daemon remembers what its own callers ask for, and the leader what it was
-//! told. A leader that has just taken over knows nothing, so daemons tell it once
-//! what they remember.
+//! Each daemon keeps the arrivals of its own callers, and the leader those that were reported to
+//! it. A leader that has just taken over has none, so each daemon reports its past arrivals to it
+//! once.
 
 use std::collections::BTreeMap;
 use trestle_core::names::ModelName;
 
-/// Time in which an arrival's weight in a rate falls to 1/e. Long enough that a
-/// rarely used model which came twice is told from one that came once, short
-/// enough that a model out of demand gives way within some ten seconds.
+/// Time in which the weight of an arrival decays to 1/e. It is long enough to distinguish a rarely
+/// used model that was requested twice from one that was requested once, and short enough that a
+/// model out of demand can be evicted within some ten seconds.
 const MEMORY_MS: f64 = 8_000.0;
-/// The same for demand that rises suddenly: a model that becomes the busiest within seconds
-/// needs replicas before its one engine is full, and a load from the weight store takes 6 s.
+/// The same time for a sudden rise: a model that becomes the busiest within seconds needs replicas
+/// before its one engine is full, and a load from the weight store takes 6 s.
 const SURGE_MEMORY_MS: f64 = 2_000.0;
-/// Weight below which a model is forgotten; a single arrival is, after 32 s.
+/// Weight below which a model is dropped; after a single arrival this takes 32 s.
 const FORGOTTEN: f64 = 0.018;
-/// Models that a daemon tells a new leader of, those asked for most: half a busy daemon's,
-/// in some 2 KB.
+/// Number of models that a daemon reports to a new leader, those with the highest rates: half of a
+/// busy daemon's models, in some 2 KB.
 const MOST_TOLD: usize = 64;
 
-/// How often models are asked for.
+/// Request rates of models.
 #[derive(Debug, Default)]
 pub struct Rates {
     models: BTreeMap<ModelName, Rate>,
@@ -28,32 +28,32 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
-    /// Arrivals, each by its age.
+    /// Sum of the arrivals, each decayed by its age.
     weight: f64,
-    /// The same, with a shorter memory.
+    /// The same sum, with a faster decay.
     surge: f64,
     at_ms: u64,
     last_arrival_ms: u64,
 }
 
-/// What is remembered of one model, as one daemon tells another.
+/// The past arrivals for one model, as one daemon reports them to another.
 #[trestle_macros::plain]
 pub struct PastArrivals {
     /// The model.
     pub model: ModelName,
-    /// Arrivals, each by its age, in thousandths.
+    /// Sum of the arrivals, each decayed by its age, in thousandths.
     pub weight_milli: u32,
     /// Time since the last arrival.
     pub age_ms: u64,
 }
 
 impl Rates {
-    /// Notes arrivals.
+    /// Records arrivals.
     pub fn record_arrivals(&mut self, model: &ModelName, count: u32, now_ms: u64) {
         self.add(model, f64::from(count), now_ms, now_ms);
     }
 
-    /// Takes what another daemon remembers.
+    /// Adds the past arrivals that another daemon reports.
     pub fn add_history(&mut self, past: &[PastArrivals], now_ms: u64) {
         for arrivals in past {
             let last_ms = now_ms.saturating_sub(arrivals.age_ms);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What is remembered of the models that are asked for most.
+    /// Returns the past arrivals of the models with the highest rates.
     pub fn history(&self, now_ms: u64) -> Vec<PastArrivals> {
         let each = self.models.iter().map(|(model, rate)| PastArrivals {
             model: model.clone(),
@@ -74,27 +74,27 @@
         past
     }
 
-    /// Arrivals a second.
+    /// Returns the arrivals per second.
     pub fn per_s(&self, model: &ModelName, now_ms: u64) -> f64 {
         self.models.get(model).map_or(0.0, |rate| rate.per_s(now_ms))
     }
 
-    /// Arrivals a second of the last seconds, where they rise.
+    /// Returns the arrivals per second, by the last seconds alone if the rate rises.
     pub fn surge_per_s(&self, model: &ModelName, now_ms: u64) -> f64 {
         self.models.get(model).map_or(0.0, |rate| rate.surge_per_s(now_ms).max(rate.per_s(now_ms)))
     }
 
-    /// All models that were asked for lately, with arrivals a second.
+    /// Returns all models with recent arrivals, with their arrivals per second.
     pub fn iter(&self, now_ms: u64) -> impl Iterator<Item = (&ModelName, f64)> {
         self.models.iter().map(move |(model, rate)| (model, rate.per_s(now_ms)))
     }
 
-    /// When a model was last asked for.
+    /// Returns the time of the last arrival for a model.
     pub fn last_arrival_ms(&self, model: &ModelName) -> Option<u64> {
         self.models.get(model).map(|rate| rate.last_arrival_ms)
     }
 
-    /// Forgets what was asked for long ago.
+    /// Drops models whose last arrivals are long ago.
     pub fn forget(&mut self, now_ms: u64) {
         self.models.retain(|_, rate| rate.decayed(now_ms) > FORGOTTEN);
     }
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one service's engines.
+//! The leader's view of one service's engines.
 
 use crate::{
     catalog::EngineSpec,
@@ -24,59 +24,62 @@
 /// Time for which an engine gets no orders after a change there failed.
 const FAILED_PAUSE_MS: u64 = 1_000;
 
-/// Time for which an engine that did not answer orders counts as gone; the entry of one
-/// that has died is removed by then.
+/// Time for which an engine that does not answer orders counts as gone; the entry of a crashed one
+/// is removed by then.
 const SILENT_MS: u64 = 4_000;
-/// Time after a change within which an engine's entry may still show the state before.
+/// Time after a change within which an engine's entry may still show the state before it.
 const ENTRY_AGE_MS: u64 = 3_000;
 
-/// What the leader knows of one service's engines.
+/// The leader's view of one service's engines.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    /// What callers of all daemons ask for.
+    /// The demand of the callers of all daemons.
     pub demand: Demand,
-    /// What other leaders see to.
+    /// What other leaders are responsible for.
     pub sharing: Sharing,
     engines: BTreeMap<EndpointName, KnownEngine>,
-    /// Engines that have named a limit: what they hold is as good as not there for callers that
-    /// they turn away.
+    /// Engines that have reported a limit. What they hold counts as absent, since they reject
+    /// callers.
     limited: BTreeSet<EndpointName>,
     ready_in_ms: BTreeMap<Loadable, u64>,
     planned_ms: u64,
     learnt: ObservedTimes,
-    /// Grows with each change that daemons should hear of at once.
+    /// Number of changes so far of which daemons should learn at once.
     news: u64,
 }
 
-/// A change to begin, with the orders that make it.
+/// A change that begins, with its engine and its orders.
 pub type StartedChange = (Arc<Endpoint>, Change, OrderChain);
 
-/// One start of an engine.
+/// One incarnation of an engine.
 #[derive(Debug, Default)]
 struct KnownEngine {
     born_ms: u64,
     held: Held,
-    /// Orders that it has accepted, if that is certain.
+    /// Number of orders that the engine has accepted; `None` if that is not certain.
     order_count: Option<u64>,
-    /// The entry that was seen last.
+    /// Number of the last entry seen.
     entry_number: u64,
-    /// When its last change ended.
+    /// When the last change of the engine ended.
     changed_ms: Option<u64>,
     arrived_ms: BTreeMap<ModelName, u64>,
     change: Option<Change>,
     paused_until_ms: u64,
-    /// Until when it counts as gone after it fell silent, unless it enters itself anew.
+    /// Until when the engine counts as gone because it did not answer; a new entry ends this
+    /// sooner.
     silent_until_ms: u64,
 }
 
 impl ServiceState {
-    /// Sets which engines have named a limit.
+    /// Sets the engines that have reported a limit.
     pub fn set_limited(&mut self, limited: BTreeSet<EndpointName>) {
         self.limited = limited;
     }
 
-    /// What to change now. Orders may be given from `orders_in_ms` on; until then nothing is
-    /// changed, and what would be is ready that much later.
+    /// Plans, and returns the changes that begin now.
+    ///
+    /// Orders may be given from `orders_in_ms` on. Until then no change begins, and the expected
+    /// ready times are later by this much.
     pub fn plan(
         &mut self,
         spec: &Arc<EngineSpec>,
@@ -132,7 +135,7 @@
         changes.filter_map(|change| self.begin(spec, change, directory)).collect()
     }
 
-    /// Works out which of several leaders sees to what daemons wait for and nobody sees to yet.
+    /// Assigns pending demand of the daemons that has no current assignment to a group of engines.
     pub fn assign_groups(
         &mut self,
         spec: &EngineSpec,
@@ -160,8 +163,8 @@
         self.sharing.assign(new.into_iter(), spec, &own, now_ms);
     }
 
-    /// Groups of other leaders that see to something which daemons wait for, and have not planned
-    /// with it yet.
+    /// Returns the groups of other leaders that are responsible for pending demand and have not yet
+    /// planned with it.
     pub fn groups_to_plan(&self, now_ms: u64) -> BTreeSet<DomainName> {
         if self.sharing.is_alone() {
             return BTreeSet::new();
@@ -171,7 +174,7 @@
         unplanned.filter_map(|wish| self.sharing.assigned_group(wish).cloned()).collect()
     }
 
-    /// Takes the end of a change; nothing, if the engine has started again meanwhile.
+    /// Records the end of a change; does nothing if the engine has restarted meanwhile.
     pub fn finish_change(&mut self, engine: &Incarnation, chain: &OrderChain, now_ms: u64) {
         let known = self.engines.get_mut(&engine.name);
         let Some(known) = known.filter(|known| known.born_ms == engine.started_unix_ms) else {
@@ -196,12 +199,12 @@
         }
     }
 
-    /// Grows with each change that daemons should hear of at once.
+    /// Returns the number of changes so far of which daemons should learn at once.
     pub fn revision(&self) -> u64 {
         self.news
     }
 
-    /// What daemons are told.
+    /// Returns the report on the service for daemons.
     pub fn view(&self, service: &ServiceName, directory: &Directory, now_ms: u64) -> ReplicaView {
         let usage = self.demand.usage(now_ms);
         let engines = directory.usable(service).filter_map(|endpoint| {
@@ -217,18 +220,18 @@
         }
     }
 
-    /// Models that are on their way to engines.
+    /// Returns the models that engines are loading.
     pub fn loading_models(&self) -> impl Iterator<Item = &ModelName> {
         let changes = self.engines.values().filter_map(|known| known.change.as_ref());
         changes.filter(|change| change.adapter.is_none()).map(|change| &change.model)
     }
 
-    /// When what is waited for will be ready, as the last plan says, and how old that is.
+    /// Returns the ready times of pending demand by the last plan, and the age of that plan in ms.
     pub fn last_plan(&self, now_ms: u64) -> (&BTreeMap<Loadable, u64>, u64) {
         (&self.ready_in_ms, now_ms.saturating_sub(self.planned_ms))
     }
 
-    /// When what is waited for will be ready, as the last plan says.
+    /// Returns the ready times of pending demand by the last plan, as of now.
     fn ready_in_ms(&self, now_ms: u64) -> BTreeMap<Loadable, u64> {
         let age_ms = now_ms.saturating_sub(self.planned_ms);
         let ready = self.ready_in_ms.iter();
@@ -237,13 +240,14 @@
             .collect()
     }
 
-    /// Takes over what engines say of themselves, where nothing newer is known.
+    /// Takes over the engines' own entries unless something newer is known.
     fn follow(&mut self, directory: &BTreeMap<EndpointName, Arc<Endpoint>>, now_ms: u64) {
         self.engines.retain(|name, _| directory.contains_key(name));
         for endpoint in directory.values() {
             let known = self.engines.entry(endpoint.name.clone()).or_default();
             if known.born_ms != endpoint.started_unix_ms {
-                // It holds nothing, has no order under way, and counts its orders anew.
+                // A new incarnation holds nothing, has no order in flight and counts its orders
+                // from 0.
                 *known =
                     KnownEngine { born_ms: endpoint.started_unix_ms, ..KnownEngine::default() };
             }
@@ -279,7 +283,7 @@
 }
 
 impl KnownEngine {
-    /// Whether the engine's entry tells something newer than this known.
+    /// Returns whether the engine's entry is newer than this record.
     fn may_follow(&self, endpoint: &Endpoint, now_ms: u64) -> bool {
         match self.changed_ms {
             None => endpoint.held != self.held,
@@ -288,7 +292,7 @@
     }
 }
 
-/// What an engine can run, as far as is known, and what runs there.
+/// Returns what an engine can run, by the leader's knowledge, and how many requests run there.
 fn note(endpoint: &Endpoint, known: &KnownEngine, usage: &Usage<'_>, now_ms: u64) -> EngineSummary {
     let running = usage.at(&endpoint.name);
     if now_ms < known.silent_until_ms {
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -1,15 +1,15 @@
-//! Which of several leaders sees to a model that somebody waits for.
+//! Which of several leaders is responsible for pending demand.
 //!
-//! The load that this answers: engines of several failure domains, each with a leader of its
-//! own, and models of which three copies lie near engines anywhere. A caller's daemon asks its
-//! own domain's leader, so two leaders may want the same model, and if each brought it in, the
-//! second place would be taken from a model that nobody can reach. So all leaders work out, by
-//! the same rule over nearly the same knowledge, one group of engines whose leader brings a
-//! model in, and tell that leader of the wish. Where two disagree for a moment, the model gets
-//! a place more than it needs, and the next plan takes it back.
+//! The load that this answers: engines of several failure domains, each with its own leader, and
+//! models of which three copies are local to engines anywhere. A caller's daemon syncs with the
+//! leader of its own domain, so two leaders may receive demand for the same model. If each loaded
+//! it, the second replica would take the room of a model that then no engine holds. So all leaders
+//! compute, by the same rule over nearly the same knowledge, one group of engines whose leader
+//! loads the model, and report the demand to that leader. If two disagree for a moment, the model
+//! gets one replica too many, and a later plan evicts it.
 //!
-//! Any leader may let a model make way at its own engines. It counts the replicas elsewhere, so
-//! what it takes for the last one is the last one of all.
+//! Any leader may evict a model at its own engines. It counts the replicas at other leaders'
+//! engines, so what it takes for the last replica is the last one of all.
 
 use crate::{
     catalog::{EngineSpec, ModelSpec},
@@ -23,58 +23,58 @@
 use trestle_core::names::{DomainName, EndpointName, ModelName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time for which a wish stays with the group that it was given to: a load from disk takes
-/// about a third of that, and a second group would begin one of its own.
+/// Time for which pending demand stays assigned to a group: a load from disk takes about a third of
+/// it, and a second group would begin a load of its own.
 const SETTLED_MS: u64 = 2_000;
-/// The same where the model was there or on its way: it may go meanwhile.
+/// The same time if the model was loaded or loading there, since it may be evicted meanwhile.
 const PRESENT_MS: u64 = 200;
-/// Time after which a leader that has not answered for a wish no longer keeps its callers
+/// Time after which a leader that has not planned with assigned demand no longer keeps its callers
 /// waiting for an answer.
 const UNANSWERED_MS: u64 = 400;
-/// Time without a wish after which the next one for the same model is a new one, of which the
-/// leader that sees to it has yet to hear; plans follow each other within 100 ms.
+/// Time without demand for a model after which the next demand counts as new, so that the leader
+/// responsible for it has yet to learn of it; plans follow each other within 100 ms.
 const NEW_AGAIN_MS: u64 = 300;
-/// Time after which a wish that nobody has any more is forgotten.
+/// Time without demand after which its assignment is dropped.
 const FORGOTTEN_MS: u64 = 5_000;
-/// What a quarter of an engine's slots that is full counts against a load's time: loads of
-/// engines differ between two leaders by what is on its way between them, steps hide that.
+/// Cost, as load time, of each quarter of an engine's slots in use. Two leaders count different
+/// loads of an engine by the requests in flight between them; the steps hide that.
 const FILL_STEP_MS: u64 = 200;
-/// Steps from an idle engine to a full one.
+/// Number of steps from an idle engine to a full one.
 const FILL_STEPS: u64 = 4;
 
 /// One engine, as a leader sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineView<'a> {
-    /// Its entry.
+    /// The engine's entry.
     pub endpoint: &'a Endpoint,
-    /// What it can run.
+    /// What the engine can run.
     pub holds: &'a Held,
-    /// Requests that run there.
+    /// Number of requests that run there.
     pub running: u32,
 }
 
 /// An engine that another leader orders.
 #[derive(Debug, Clone)]
 pub struct ForeignEngine {
-    /// Its entry.
+    /// The engine's entry.
     pub endpoint: Arc<Endpoint>,
-    /// What it can run.
+    /// What the engine can run.
     pub holds: Held,
-    /// Requests that run there.
+    /// Number of requests that run there.
     pub running: u32,
 }
 
-/// What a leader knows of engines that others order.
+/// What a leader knows of the engines of other leaders.
 #[derive(Debug, Default)]
 pub struct Sharing {
     own_groups: BTreeSet<DomainName>,
-    /// Groups with a leader that answers, this one's included.
+    /// Groups with a leader that responds, including this one's.
     live_groups: BTreeSet<DomainName>,
     other_leader_count: usize,
     engines: BTreeMap<EndpointName, ForeignEngine>,
-    /// Models that another leader is bringing in, with its group.
+    /// Models that another leader is loading, with its group.
     loading: BTreeMap<ModelName, DomainName>,
-    /// Wishes of this one's daemons with which other leaders have planned.
+    /// Pending demand of this leader's daemons with which other leaders have planned.
     planned: BTreeSet<Loadable>,
     homes: BTreeMap<Loadable, Home>,
 }
@@ -82,33 +82,33 @@
 #[derive(Debug, Clone)]
 struct Home {
     group: DomainName,
-    /// Since when somebody has waited.
+    /// Since when there has been demand.
     since_ms: u64,
-    /// When somebody last waited.
+    /// When there was demand last.
     wanted_ms: u64,
-    /// Until when the group stays the same.
+    /// Until when the assignment is not computed again.
     until_ms: u64,
 }
 
-/// What a leader hears of the others.
+/// What a leader has received from the other leaders.
 #[derive(Debug, Default)]
 pub struct OtherLeaders {
     /// Groups that this leader orders.
     pub own_groups: BTreeSet<DomainName>,
-    /// Groups of other leaders that answer.
+    /// Groups of other leaders that respond.
     pub live_groups: BTreeSet<DomainName>,
-    /// Other leaders.
+    /// Number of other leaders.
     pub other_leader_count: usize,
     /// Engines of all other groups.
     pub engines: BTreeMap<EndpointName, ForeignEngine>,
-    /// Models that others are bringing in, with their groups.
+    /// Models that other leaders are loading, with their groups.
     pub loading: BTreeMap<ModelName, DomainName>,
-    /// Wishes of this leader's daemons with which they have planned.
+    /// Pending demand of this leader's daemons with which other leaders have planned.
     pub planned: BTreeSet<Loadable>,
 }
 
 impl Sharing {
-    /// Takes what is known of the others now.
+    /// Replaces what is known of the other leaders.
     pub fn update(&mut self, others: OtherLeaders) {
         let OtherLeaders {
             own_groups,
@@ -127,32 +127,32 @@
         self.planned = planned;
     }
 
-    /// Whether nobody else orders engines.
+    /// Returns whether no other leader orders engines.
     pub fn is_alone(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Leaders that share the weight store.
+    /// Returns the number of leaders that share the weight store, including this one.
     pub fn leader_count(&self) -> usize {
         self.other_leader_count + 1
     }
 
-    /// Engines that others order.
+    /// Returns the engines that other leaders order.
     pub fn engines(&self) -> impl Iterator<Item = &ForeignEngine> {
         self.engines.values()
     }
 
-    /// Whether this leader sees to what its own daemons wait for.
+    /// Returns whether this leader is responsible for a demand of its own daemons.
     pub fn is_assigned_here(&self, wish: &Loadable) -> bool {
         self.assigned_group(wish).is_none_or(|group| self.own_groups.contains(group))
     }
 
-    /// The group whose leader sees to a wish, where that was worked out.
+    /// Returns the group whose leader is responsible for a demand; `None` if none is assigned.
     pub fn assigned_group(&self, wish: &Loadable) -> Option<&DomainName> {
         self.homes.get(wish).map(|home| &home.group)
     }
 
-    /// Whether whoever sees to a wish has planned with it, or had the time to.
+    /// Returns whether the leader responsible for a demand has planned with it or had the time to.
     pub fn is_planned(&self, wish: &Loadable, now_ms: u64) -> bool {
         let Some(home) = self.homes.get(wish) else { return true };
         self.own_groups.contains(&home.group)
@@ -160,8 +160,8 @@
             || now_ms >= home.since_ms + UNANSWERED_MS
     }
 
-    /// Works out who sees to each thing that this leader's daemons wait for. `own` are the
-    /// engines that it orders itself.
+    /// Assigns each pending demand of this leader's daemons to a group. `own` are the engines that
+    /// this leader orders.
     pub fn assign(
         &mut self,
         wishes: impl Iterator<Item = Loadable>,
@@ -175,13 +175,13 @@
         self.homes.extend(assigned);
     }
 
-    /// Whether the group that sees to a wish stays the same for now.
+    /// Returns whether the assignment of a demand is current and its group has a leader.
     pub fn is_settled(&self, wish: &Loadable, now_ms: u64) -> bool {
         let home = self.homes.get(wish);
         home.is_some_and(|home| now_ms < home.until_ms && self.live_groups.contains(&home.group))
     }
 
-    /// Notes that somebody still waits for these.
+    /// Records that there still is demand for these.
     pub fn renew(&mut self, wishes: &[Loadable], now_ms: u64) {
         for wish in wishes {
             if let Some(home) = self.homes.get_mut(wish) {
@@ -207,10 +207,10 @@
         Some((wish, Home { group, since_ms, wanted_ms: now_ms, until_ms }))
     }
 
-    /// The group that sees to a wish now, and until when it stays the same.
+    /// Computes the group responsible for a demand, and until when it stays responsible.
     ///
-    /// An adapter goes to one replica of its model, whoever wants it: replicas hold few, and 254
-    /// adapters of one model would otherwise take a place in each domain.
+    /// An adapter is loaded at one replica of its model, whoever needs it: replicas hold few
+    /// adapters, and 254 adapters of one model would otherwise each take room in every domain.
     fn work_out(
         &self,
         wish: &Loadable,
@@ -233,7 +233,7 @@
         Some((group.clone(), now_ms + SETTLED_MS))
     }
 
-    /// Whether this leader's engines should get the next replica of a model.
+    /// Returns whether the next replica of a model should be loaded at this leader's engines.
     pub fn is_next_replica_here(
         &self,
         model: &ModelName,
@@ -246,12 +246,12 @@
         !is_coming_elsewhere && group.is_some_and(|group| self.own_groups.contains(group))
     }
 
-    /// Forgets models that nobody waits for any more.
+    /// Drops assignments for which there has been no demand for some time.
     pub fn drop_lapsed(&mut self, now_ms: u64) {
         self.homes.retain(|_, home| now_ms < home.wanted_ms + FORGOTTEN_MS);
     }
 
-    /// All engines of groups with a leader that answers.
+    /// Returns all engines of groups with a leader that responds.
     fn live_hosts<'a>(&'a self, own: &[EngineView<'a>]) -> Vec<EngineView<'a>> {
         let foreign = self.engines.values().map(|foreign| EngineView {
             endpoint: &foreign.endpoint,
@@ -263,7 +263,7 @@
     }
 }
 
-/// Engines, also by what they hold; one list serves all wishes of a plan.
+/// Engines, also indexed by the models that they hold; built once per plan.
 struct Hosts<'a> {
     all: Vec<EngineView<'a>>,
     holders: BTreeMap<&'a ModelName, Vec<EngineView<'a>>>,
@@ -281,7 +281,7 @@
     }
 }
 
-/// The group of the engine that brings a model in soonest.
+/// Returns the group of the engine that can load a model soonest.
 fn best<'a>(
     model: &ModelName,
     spec: &ModelSpec,
@@ -297,7 +297,7 @@
     ranked.min().map(|(.., group)| group)
 }
 
-/// Decides between engines that are as good, alike at all leaders.
+/// Breaks ties between engines; all leaders compute the same rank.
 fn rank(wish: &Loadable, endpoint: &Endpoint) -> u64 {
     let seed = xxh3_64_with_seed(wish.model.as_str().as_bytes(), 0);
     let adapter = wish.adapter.as_ref().map_or("", AsRef::as_ref);
--- a/crates/trestle-dispatch/src/usage.rs
+++ b/crates/trestle-dispatch/src/usage.rs
@@ -1,11 +1,11 @@
-//! Requests that run now, added up over all daemons.
+//! The running requests, summed over all daemons.
 
 use std::collections::BTreeMap;
 use trestle_core::names::{EndpointName, ModelName};
 
-/// Requests that run now, added up over all daemons.
+/// The running requests, summed over all daemons.
 ///
-/// A plan asks for the same sums many times; they are made once for it.
+/// A plan needs the same sums many times, so they are computed once for it.
 #[derive(Debug, Default)]
 pub struct Usage<'a> {
     engines: BTreeMap<&'a EndpointName, EngineUsage<'a>>,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Usage<'a> {
-    /// Counts further requests for a model that run at an engine.
+    /// Adds running requests for a model at an engine.
     pub(crate) fn add(&mut self, endpoint: &'a EndpointName, model: &'a ModelName, count: u32) {
         let engine = self.engines.entry(endpoint).or_default();
         engine.total += count;
@@ -27,28 +27,28 @@
         *self.models.entry(model).or_default() += count;
     }
 
-    /// Counts further requests for a model that run at engines which are not named.
+    /// Adds running requests for a model at engines that are not named.
     pub(crate) fn add_elsewhere(&mut self, model: &'a ModelName, count: u32) {
         *self.models.entry(model).or_default() += count;
     }
 
-    /// Requests that run at an engine.
+    /// Returns the number of requests that run at an engine.
     pub fn at(&self, endpoint: &EndpointName) -> u32 {
         self.engines.get(endpoint).map_or(0, |engine| engine.total)
     }
 
-    /// Requests for a model that run at an engine.
+    /// Returns the number of requests for a model that run at an engine.
     pub fn of_model_at(&self, endpoint: &EndpointName, model: &ModelName) -> u32 {
         let engine = self.engines.get(endpoint);
         engine.and_then(|engine| engine.models.get(model)).copied().unwrap_or_default()
     }
 
-    /// Models with requests that run.
+    /// Returns the models with running requests.
     pub fn models(&self) -> impl Iterator<Item = &'a ModelName> {
         self.models.keys().copied()
     }
 
-    /// Requests for a model that run anywhere.
+    /// Returns the number of requests for a model that run at any engine.
     pub fn of_model(&self, model: &ModelName) -> u32 {
         self.models.get(model).copied().unwrap_or_default()
     }
--- a/crates/trestle-dispatch/src/wait_limit.rs
+++ b/crates/trestle-dispatch/src/wait_limit.rs
@@ -1,31 +1,31 @@
-//! How long a send is waited for before another endpoint is tried.
+//! How long a send may take before another endpoint is tried.
 //!
-//! The load that this answers: an endpoint that has turned slow or silent, among others that
-//! are sound. An endpoint makes way only if another could take the request over at that
-//! moment; breaking off what nobody else can run would lose what was done for it.
+//! The load that this answers: an endpoint that has become slow or silent, among others that are
+//! healthy. A send is aborted only if another endpoint could run the request at that moment;
+//! otherwise the work done for it would be lost.
 
 use crate::route::Route;
 
-/// Objectives within which a stream's first event must come: one that is merely late is not
-/// begun anew, since its prompt would be read twice.
+/// Number of objectives within which the first event of a stream must arrive. A stream that is
+/// merely late is not started again, since its prompt would be read twice.
 const FIRST_EVENT_OBJECTIVES: u64 = 2;
-/// Pauses within which the next event must come.
+/// Number of pauses within which the next event must arrive.
 const STALLED_PAUSES: u64 = 4;
-/// Least time of all, where a route has no objective.
+/// Shortest wait limit, for routes without an objective.
 const LEAST_MS: u64 = 100;
 
-/// Time for the whole answer of a plain call; while another send is left, one that is no
-/// longer on time makes way for it.
+/// Returns the wait limit for the whole answer of a plain call: while another send is allowed, one
+/// that is no longer on time is aborted for it.
 pub fn answer_ms(route: &Route) -> u64 {
     route.objective_ms.max(LEAST_MS)
 }
 
-/// Time for the first event of a stream.
+/// Returns the wait limit for the first event of a stream.
 pub fn first_event_ms(route: &Route) -> u64 {
     (FIRST_EVENT_OBJECTIVES * route.objective_ms).max(LEAST_MS)
 }
 
-/// Time for each further event.
+/// Returns the wait limit for each further event of a stream.
 pub fn next_event_ms(route: &Route) -> u64 {
     (STALLED_PAUSES * route.pause_ms).max(LEAST_MS)
 }
