--- a/crates/trestle-dispatch/src/admission.rs
+++ b/crates/trestle-dispatch/src/admission.rs
@@ -10,20 +10,20 @@
 use crate::route::Route;
 
 /// Least time for which a caller waits for the first event of a stream.
-const LEAST_STAY_MS: u64 = 2_000;
+const MIN_CALLER_TIMEOUT_MS: u64 = 2_000;
 /// The same time as a multiple of the route's objective.
-const STAY_OBJECTIVES: u64 = 4;
+const CALLER_TIMEOUT_OBJECTIVES: u64 = 4;
 /// The same time as a multiple of the longest pause between events that counts as on time.
-const STAY_PAUSES: u64 = 8;
+const CALLER_TIMEOUT_PAUSES: u64 = 8;
 /// Time from the moment a model is ready to the first event at the caller: the report of the model,
 /// the send to the engine, the prompt, and the way back.
 const FIRST_EVENT_MS: u64 = 150;
 /// A caller is told to retry after at most its remaining time divided by this.
-const COME_BACK_PART: u64 = 3;
+const RETRY_PART: u64 = 3;
 /// Time after which callers are told to retry if no daemon knows when the model will be ready.
 const UNKNOWN_READY_MS: u64 = 1_500;
 /// Added to the time until a model is ready, so that a caller that retries finds it ready.
-const COME_BACK_MARGIN_MS: u64 = 150;
+const RETRY_MARGIN_MS: u64 = 150;
 /// Time for which no endpoint may be found for a model that the leader reports as ready: the report
 /// of the engine is still under way, or the engine has just refused. After it, the two disagree.
 const DISAGREEMENT_MS: u64 = 600;
@@ -68,8 +68,8 @@
 
     /// Returns the wait of a request whose caller stays no longer than the route's objective.
     pub fn within_objective(route: &Route, elapsed_ms: u64, allowed_ms: u64) -> Self {
-        let stays_ms = route.objective_ms.min(caller_timeout_ms(route, allowed_ms));
-        Self { elapsed_ms, allowed_ms, caller_timeout_ms: stays_ms }
+        let caller_timeout_ms = route.objective_ms.min(caller_timeout_ms(route, allowed_ms));
+        Self { elapsed_ms, allowed_ms, caller_timeout_ms }
     }
 }
 
@@ -127,19 +127,19 @@
     if !route.is_stream() {
         return deadline_ms;
     }
-    let by_objective = STAY_OBJECTIVES * route.objective_ms;
-    let by_pause = STAY_PAUSES * route.pause_ms;
-    LEAST_STAY_MS.max(by_objective).max(by_pause).min(deadline_ms)
+    let by_objective = CALLER_TIMEOUT_OBJECTIVES * route.objective_ms;
+    let by_pause = CALLER_TIMEOUT_PAUSES * route.pause_ms;
+    MIN_CALLER_TIMEOUT_MS.max(by_objective).max(by_pause).min(deadline_ms)
 }
 
 /// Decides whether a request waits or is refused, given when its model will be ready.
-pub fn decide(wait: Wait, outlook: Forecast) -> Admission {
+pub fn decide(wait: Wait, forecast: Forecast) -> Admission {
     let until_ms = wait.caller_timeout_ms.saturating_sub(FIRST_EVENT_MS);
     let refuse = |ready_in_ms, reason| {
         let retry_after_ms = retry_after_ms(wait.elapsed_ms, wait.allowed_ms, ready_in_ms);
         Admission::Refuse { retry_after_ms, reason }
     };
-    match outlook {
+    match forecast {
         Forecast::Here { for_ms } if for_ms > DISAGREEMENT_MS => {
             refuse(Some(DISAGREEMENT_MS), Reason::Disagreement)
         }
@@ -158,6 +158,6 @@
 ///
 /// It is at most a third of the caller's remaining time.
 pub fn retry_after_ms(elapsed_ms: u64, deadline_ms: u64, ready_in_ms: Option<u64>) -> u64 {
-    let ready_ms = ready_in_ms.map_or(UNKNOWN_READY_MS, |ready_ms| ready_ms + COME_BACK_MARGIN_MS);
-    ready_ms.min(deadline_ms.saturating_sub(elapsed_ms) / COME_BACK_PART)
+    let ready_ms = ready_in_ms.map_or(UNKNOWN_READY_MS, |ready_ms| ready_ms + RETRY_MARGIN_MS);
+    ready_ms.min(deadline_ms.saturating_sub(elapsed_ms) / RETRY_PART)
 }
--- a/crates/trestle-dispatch/src/candidate.rs
+++ b/crates/trestle-dispatch/src/candidate.rs
@@ -7,18 +7,18 @@
 use crate::lease::LeaseRow;
 
 /// Time for which a daemon counts as recently started.
-const YOUNG_MS: u64 = 30_000;
+const RECENT_START_MS: u64 = 30_000;
 /// Time for which daemons that are not recently started leave a released lease to those that are;
 /// the report of the release takes that long.
-const YOUNG_FIRST_MS: u64 = 400;
+const OLD_DELAY_MS: u64 = 400;
 /// Time for which a VM weaker than the last holder's leaves the lease to VMs that are not.
-const STRONGER_FIRST_MS: u64 = 300;
+const WEAKER_DELAY_MS: u64 = 300;
 /// Time for which a VM with one whole core leaves the lease to stronger ones if no daemon has led
 /// yet; weaker VMs wait longer, in proportion. VMs start some 300 ms apart, so the wait must
 /// separate a VM of half a core from one of an eighth by that much.
-const FIRST_WAIT_MS: u64 = 100;
+const ONE_CORE_DELAY_MS: u64 = 100;
 /// Longest such wait, for the weakest VMs.
-const MOST_FIRST_WAIT_MS: u64 = 1_000;
+const MAX_FIRST_DELAY_MS: u64 = 1_000;
 
 /// A daemon that may acquire the lease.
 #[trestle_macros::plain]
@@ -48,13 +48,13 @@
     /// given the row of the last holder.
     pub fn takeover_delay_ms(self, last: Option<&LeaseRow>) -> u64 {
         let Some(last) = last else {
-            let wait_ms = FIRST_WAIT_MS * 1_000 / u64::from(self.millicores.max(1));
-            return wait_ms.min(MOST_FIRST_WAIT_MS);
+            let wait_ms = ONE_CORE_DELAY_MS * 1_000 / u64::from(self.millicores.max(1));
+            return wait_ms.min(MAX_FIRST_DELAY_MS);
         };
         let is_weaker = self.millicores < last.millicores;
-        let is_old = self.age_ms >= YOUNG_MS;
-        let stronger_first_ms = if is_weaker { STRONGER_FIRST_MS } else { 0 };
-        let young_first_ms = if last.is_released && is_old { YOUNG_FIRST_MS } else { 0 };
-        stronger_first_ms + young_first_ms
+        let is_old = self.age_ms >= RECENT_START_MS;
+        let weaker_delay_ms = if is_weaker { WEAKER_DELAY_MS } else { 0 };
+        let old_delay_ms = if last.is_released && is_old { OLD_DELAY_MS } else { 0 };
+        weaker_delay_ms + old_delay_ms
     }
 }
--- a/crates/trestle-dispatch/src/change.rs
+++ b/crates/trestle-dispatch/src/change.rs
@@ -25,7 +25,7 @@
 }
 
 /// Least remaining time reported for a change that is not done yet.
-const LEAST_LEFT_MS: u64 = 50;
+const MIN_REMAINING_MS: u64 = 50;
 /// The remaining time of an overdue change grows by the time that it is overdue divided by this.
 const OVERDUE_PART: u64 = 2;
 
@@ -33,7 +33,7 @@
     /// Returns the expected time until the change is done; never 0.
     pub fn remaining_ms(&self, now_ms: u64) -> u64 {
         let overdue_ms = now_ms.saturating_sub(self.done_at_ms);
-        self.done_at_ms.saturating_sub(now_ms).max(LEAST_LEFT_MS + overdue_ms / OVERDUE_PART)
+        self.done_at_ms.saturating_sub(now_ms).max(MIN_REMAINING_MS + overdue_ms / OVERDUE_PART)
     }
 
     /// Returns the orders that carry out the change.
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -13,15 +13,15 @@
 /// credit their most urgent class with 7 to 9 times the next, and the classes below it about alike.
 const URGENCY_STEP: f64 = 0.3;
 /// Time after its last report for which a daemon's report counts as current.
-const SILENT_MS: u64 = 2_000;
+const CURRENT_MS: u64 = 2_000;
 /// Time in which the peak number of running requests decays to 1/e: the length of some streams, so
 /// that a replica is not given up between two of them.
-const PEAK_MEMORY_MS: f64 = 3_000.0;
+const PEAK_DECAY_MS: f64 = 3_000.0;
 /// Time for which the last use of an adapter is remembered; adapters without one are evicted first.
 const ADAPTER_MEMORY_MS: u64 = 60_000;
 /// Weight of the newest sample in the average running time of a request; a plan takes one sample,
 /// some ten times a second.
-const NEWEST_RUN_WEIGHT: f64 = 0.02;
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.02;
 /// Time after its last report for which a daemon counts among those that share budgets.
 const COUNTED_MS: u64 = 30_000;
 
@@ -78,7 +78,7 @@
 }
 
 impl<'a> AggregateDemand<'a> {
-    fn nothing_of(waiting: &'a Waiting) -> Self {
+    fn empty(waiting: &'a Waiting) -> Self {
         Self {
             model: &waiting.model,
             adapter: waiting.adapter.as_ref(),
@@ -101,7 +101,7 @@
 /// The demand of all daemons for one service.
 #[derive(Debug)]
 pub struct Demand {
-    daemons: BTreeMap<VmName, Told>,
+    daemons: BTreeMap<VmName, DaemonRecord>,
     rates: Rates,
     /// Arrival rates by the daemons' own reports, without those of other leaders.
     own_rates: Rates,
@@ -123,7 +123,7 @@
             own_rates: Rates::default(),
             peaks: BTreeMap::new(),
             missing_since_ms: BTreeMap::new(),
-            run_s: MovingAverage::new(NEWEST_RUN_WEIGHT),
+            run_s: MovingAverage::new(NEWEST_SAMPLE_WEIGHT),
             adapters_used_ms: BTreeMap::new(),
         }
     }
@@ -138,54 +138,54 @@
 impl Peak {
     fn decayed(self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.running * (-age_ms / PEAK_MEMORY_MS).exp()
+        self.running * (-age_ms / PEAK_DECAY_MS).exp()
     }
 }
 
 #[derive(Debug)]
-struct Told {
+struct DaemonRecord {
     at_ms: u64,
     /// Whether the daemon leads other engines and reports for its own daemons.
     is_leader: bool,
     /// Whether the daemon has reported its past arrivals.
-    has_remembered: bool,
+    has_history: bool,
     /// Number of the daemon's last report that a plan has included.
     last_planned: u64,
-    digest: DemandReport,
+    report: DemandReport,
 }
 
 impl Demand {
     /// Records a report of a daemon.
-    pub fn report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
-        let has_remembered = self.has_remembered(&daemon);
-        note_arrivals(&mut self.own_rates, &digest, has_remembered, now_ms);
-        self.take(daemon, digest, false, now_ms);
+    pub fn report_received(&mut self, daemon: VmName, report: DemandReport, now_ms: u64) {
+        let has_history = self.has_history(&daemon);
+        record_arrivals(&mut self.own_rates, &report, has_history, now_ms);
+        self.store_report(daemon, report, false, now_ms);
     }
 
     /// Records another leader's report for its daemons.
-    pub fn leader_report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
-        self.take(daemon, digest, true, now_ms);
+    pub fn leader_report_received(&mut self, daemon: VmName, report: DemandReport, now_ms: u64) {
+        self.store_report(daemon, report, true, now_ms);
     }
 
-    fn has_remembered(&self, daemon: &VmName) -> bool {
-        self.daemons.get(daemon).is_some_and(|told| told.has_remembered)
+    fn has_history(&self, daemon: &VmName) -> bool {
+        self.daemons.get(daemon).is_some_and(|record| record.has_history)
     }
 
-    fn take(&mut self, daemon: VmName, digest: DemandReport, is_leader: bool, now_ms: u64) {
-        let before = self.has_remembered(&daemon);
-        note_arrivals(&mut self.rates, &digest, before, now_ms);
-        let has_remembered = before || digest.past.is_some();
-        for adapter in digest.adapters_in_use.values().flatten() {
+    fn store_report(&mut self, daemon: VmName, report: DemandReport, is_leader: bool, now_ms: u64) {
+        let had_history = self.has_history(&daemon);
+        record_arrivals(&mut self.rates, &report, had_history, now_ms);
+        let has_history = had_history || report.past.is_some();
+        for adapter in report.adapters_in_use.values().flatten() {
             self.adapters_used_ms.insert(adapter.clone(), now_ms);
         }
-        let planned = self.last_planned(&daemon);
-        let told = Told { at_ms: now_ms, is_leader, has_remembered, last_planned: planned, digest };
-        self.daemons.insert(daemon, told);
+        let last_planned = self.last_planned(&daemon);
+        let record = DaemonRecord { at_ms: now_ms, is_leader, has_history, last_planned, report };
+        self.daemons.insert(daemon, record);
     }
 
     /// Returns the number of a daemon's last report that a plan has included; 0 if there is none.
     pub fn last_planned(&self, daemon: &VmName) -> u64 {
-        self.daemons.get(daemon).map_or(0, |told| told.last_planned)
+        self.daemons.get(daemon).map_or(0, |record| record.last_planned)
     }
 
     /// Records that a plan includes all reports so far, given the models that engines hold.
@@ -198,31 +198,31 @@
         is_planned: impl Fn(&Loadable) -> bool,
         now_ms: u64,
     ) {
-        for told in self.daemons.values_mut() {
-            let mut waiting = told.digest.waiting.iter();
-            if told.is_leader || waiting.all(|waiting| is_planned(&waiting.loadable())) {
-                told.last_planned = told.digest.number;
+        for record in self.daemons.values_mut() {
+            let mut waiting = record.report.waiting.iter();
+            if record.is_leader || waiting.all(|waiting| is_planned(&waiting.loadable())) {
+                record.last_planned = record.report.number;
             }
         }
-        self.note_peaks(now_ms);
-        let wanted: BTreeSet<ModelName> =
-            self.aggregate(now_ms).into_iter().map(|want| want.model.clone()).collect();
-        self.missing_since_ms.retain(|model, _| wanted.contains(model) && !held.contains(model));
-        for model in wanted.into_iter().filter(|model| !held.contains(model)) {
+        self.record_peaks(now_ms);
+        let in_demand: BTreeSet<ModelName> =
+            self.aggregate(now_ms).into_iter().map(|demand| demand.model.clone()).collect();
+        self.missing_since_ms.retain(|model, _| in_demand.contains(model) && !held.contains(model));
+        for model in in_demand.into_iter().filter(|model| !held.contains(model)) {
             self.missing_since_ms.entry(model).or_insert(now_ms);
         }
     }
 
-    fn note_peaks(&mut self, now_ms: u64) {
+    fn record_peaks(&mut self, now_ms: u64) {
         let usage = self.usage(now_ms);
-        let asked_per_s: f64 = self.rates.iter(now_ms).map(|(_, per_s)| per_s).sum();
+        let arrivals_per_s: f64 = self.rates.iter(now_ms).map(|(_, per_s)| per_s).sum();
         let all: u32 = usage.models().map(|model| usage.of_model(model)).sum();
-        let run_s = f64::from(all) / asked_per_s.max(1.0);
+        let run_s = f64::from(all) / arrivals_per_s.max(1.0);
         let running: Vec<(ModelName, f64)> =
             usage.models().map(|model| (model.clone(), f64::from(usage.of_model(model)))).collect();
         for (model, running) in running {
-            let before = self.peaks.get(&model).map_or(0.0, |peak| peak.decayed(now_ms));
-            self.peaks.insert(model, Peak { running: running.max(before), at_ms: now_ms });
+            let earlier = self.peaks.get(&model).map_or(0.0, |peak| peak.decayed(now_ms));
+            self.peaks.insert(model, Peak { running: running.max(earlier), at_ms: now_ms });
         }
         self.run_s.note(run_s);
         self.peaks.retain(|_, peak| peak.decayed(now_ms) >= 0.5);
@@ -248,7 +248,7 @@
 
     /// Drops daemons that have been silent for long and other lapsed records.
     pub fn drop_lapsed(&mut self, now_ms: u64) {
-        self.daemons.retain(|_, told| now_ms < told.at_ms + COUNTED_MS);
+        self.daemons.retain(|_, record| now_ms < record.at_ms + COUNTED_MS);
         self.rates.forget(now_ms);
         self.own_rates.forget(now_ms);
         self.adapters_used_ms.retain(|_, at_ms| now_ms < *at_ms + ADAPTER_MEMORY_MS);
@@ -276,31 +276,32 @@
         now_ms: u64,
         is_here: impl Fn(&Loadable) -> bool,
     ) -> Vec<AggregateDemand<'_>> {
-        let mut wants: BTreeMap<_, AggregateDemand<'_>> = BTreeMap::new();
-        let told = self.live_told(now_ms);
-        let waiting = told.flat_map(|told| told.digest.waiting.iter().map(|w| (told.is_leader, w)));
+        let mut demands: BTreeMap<_, AggregateDemand<'_>> = BTreeMap::new();
+        let records = self.current_records(now_ms);
+        let waiting =
+            records.flat_map(|record| record.report.waiting.iter().map(|w| (record.is_leader, w)));
         let waiting = waiting.filter(|(from_leader, w)| *from_leader || is_here(&w.loadable()));
         for (_, waiting) in waiting {
-            let want = wants
+            let demand = demands
                 .entry((&waiting.model, waiting.adapter.as_ref()))
-                .or_insert_with(|| AggregateDemand::nothing_of(waiting));
-            want.add(waiting);
+                .or_insert_with(|| AggregateDemand::empty(waiting));
+            demand.add(waiting);
         }
-        let mut wants: Vec<AggregateDemand<'_>> = wants.into_values().collect();
-        wants.sort_by_key(|want| (want.priority, want.due_in_ms));
-        wants
+        let mut demands: Vec<AggregateDemand<'_>> = demands.into_values().collect();
+        demands.sort_by_key(|demand| (demand.priority, demand.due_in_ms));
+        demands
     }
 
     /// Returns the running requests.
     pub fn usage(&self, now_ms: u64) -> Usage<'_> {
         let mut usage = Usage::default();
-        for digest in self.live(now_ms) {
-            for (endpoint, running) in &digest.running {
+        for report in self.current(now_ms) {
+            for (endpoint, running) in &report.running {
                 for (model, count) in running {
                     usage.add(endpoint, model, *count);
                 }
             }
-            for (model, count) in &digest.running_elsewhere {
+            for (model, count) in &report.running_elsewhere {
                 usage.add_elsewhere(model, *count);
             }
         }
@@ -319,13 +320,14 @@
         adapter: &(ModelName, AdapterName),
         now_ms: u64,
     ) -> bool {
-        let mut of_engine = self.live(now_ms).filter_map(|told| told.adapters_in_use.get(endpoint));
-        of_engine.any(|adapters| adapters.contains(adapter))
+        let mut in_use =
+            self.current(now_ms).filter_map(|report| report.adapters_in_use.get(endpoint));
+        in_use.any(|adapters| adapters.contains(adapter))
     }
 
     /// Returns what the daemons' own requests wait for.
     pub fn pending_loadables(&self, now_ms: u64) -> BTreeSet<Loadable> {
-        let waiting = self.live_own(now_ms).flat_map(|digest| &digest.waiting);
+        let waiting = self.current_own(now_ms).flat_map(|report| &report.waiting);
         waiting.map(Waiting::loadable).collect()
     }
 
@@ -334,39 +336,41 @@
     pub fn report_for(
         &self,
         is_its_engine: impl Fn(&EndpointName) -> bool,
-        is_its_wish: impl Fn(&Loadable) -> bool,
+        is_assigned: impl Fn(&Loadable) -> bool,
         now_ms: u64,
     ) -> DemandReport {
-        let mut digest = DemandReport::default();
+        let mut report = DemandReport::default();
         let mut waiting: BTreeMap<(ModelName, Option<AdapterName>), Waiting> = BTreeMap::new();
-        for told in self.live_own(now_ms) {
-            for wish in told.waiting.iter().filter(|wish| is_its_wish(&wish.loadable())) {
-                let key = (wish.model.clone(), wish.adapter.clone());
-                let nothing = Waiting { count: 0, ..wish.clone() };
-                waiting.entry(key).or_insert(nothing).add(wish);
+        for daemon_report in self.current_own(now_ms) {
+            for requests in
+                daemon_report.waiting.iter().filter(|requests| is_assigned(&requests.loadable()))
+            {
+                let key = (requests.model.clone(), requests.adapter.clone());
+                let empty = Waiting { count: 0, ..requests.clone() };
+                waiting.entry(key).or_insert(empty).add(requests);
             }
-            for (endpoint, models) in &told.running {
+            for (endpoint, models) in &daemon_report.running {
                 let engine = is_its_engine(endpoint);
-                let known = match engine {
-                    true => digest.running.entry(endpoint.clone()).or_default(),
-                    false => &mut digest.running_elsewhere,
+                let entry = match engine {
+                    true => report.running.entry(endpoint.clone()).or_default(),
+                    false => &mut report.running_elsewhere,
                 };
                 for (model, count) in models {
-                    *known.entry(model.clone()).or_default() += count;
+                    *entry.entry(model.clone()).or_default() += count;
                 }
             }
-            let adapters = told.adapters_in_use.iter();
+            let adapters = daemon_report.adapters_in_use.iter();
             for (endpoint, adapters) in adapters.filter(|(endpoint, _)| is_its_engine(endpoint)) {
-                let known = digest.adapters_in_use.entry(endpoint.clone()).or_default();
-                known.extend(adapters.iter().cloned());
+                let entry = report.adapters_in_use.entry(endpoint.clone()).or_default();
+                entry.extend(adapters.iter().cloned());
             }
         }
-        for adapters in digest.adapters_in_use.values_mut() {
+        for adapters in report.adapters_in_use.values_mut() {
             adapters.sort();
             adapters.dedup();
         }
-        digest.waiting = waiting.into_values().collect();
-        digest
+        report.waiting = waiting.into_values().collect();
+        report
     }
 
     /// Returns the daemons' own arrivals so far, for a leader that has not received them yet.
@@ -374,16 +378,16 @@
         self.own_rates.history(now_ms)
     }
 
-    fn live(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
-        self.live_told(now_ms).map(|told| &told.digest)
+    fn current(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
+        self.current_records(now_ms).map(|record| &record.report)
     }
 
-    fn live_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
-        self.live_told(now_ms).filter(|told| !told.is_leader).map(|told| &told.digest)
+    fn current_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
+        self.current_records(now_ms).filter(|record| !record.is_leader).map(|record| &record.report)
     }
 
-    fn live_told(&self, now_ms: u64) -> impl Iterator<Item = &Told> {
-        self.daemons.values().filter(move |told| now_ms < told.at_ms + SILENT_MS)
+    fn current_records(&self, now_ms: u64) -> impl Iterator<Item = &DaemonRecord> {
+        self.daemons.values().filter(move |record| now_ms < record.at_ms + CURRENT_MS)
     }
 }
 
@@ -401,11 +405,11 @@
 }
 
 /// Records the arrivals of a report, or all past ones if the sender had not reported them before.
-fn note_arrivals(rates: &mut Rates, digest: &DemandReport, has_remembered: bool, now_ms: u64) {
-    match &digest.past {
-        Some(past) if !has_remembered => rates.add_history(past, now_ms),
+fn record_arrivals(rates: &mut Rates, report: &DemandReport, has_history: bool, now_ms: u64) {
+    match &report.past {
+        Some(past) if !has_history => rates.add_history(past, now_ms),
         _ => {
-            for (model, count) in &digest.arrivals {
+            for (model, count) in &report.arrivals {
                 rates.record_arrivals(model, *count, now_ms);
             }
         }
--- a/crates/trestle-dispatch/src/groups.rs
+++ b/crates/trestle-dispatch/src/groups.rs
@@ -16,21 +16,21 @@
 
 /// Number of engines above which each group has its own leader. A leader of 90 engines and 79
 /// daemons used 6 % of a core.
-const MOST_ENGINES_OF_ONE: usize = 128;
+const MAX_ENGINES_OF_ONE: usize = 128;
 /// Number of engines up to which one daemon leads all groups again.
 const FEW_ENGINES: usize = 96;
 /// Time for which a leader leaves another group's free lease to that group's own daemons, which see
 /// it within the time of a lease.
-const OWN_FIRST_MS: u64 = 2_000;
+const OTHER_GROUP_DELAY_MS: u64 = 2_000;
 /// Added for each group that the daemon leads already, so that groups without daemons are spread.
-const LED_GROUP_MS: u64 = 400;
+const LED_GROUP_DELAY_MS: u64 = 400;
 /// Time without new engines after which the leader of the first group also acquires the other
 /// groups. Engines that start together enter the list within about a heartbeat of 1.2 s of each
 /// other and may turn out to be many.
-const COMPLETE_MS: u64 = 1_500;
+const LIST_COMPLETE_MS: u64 = 1_500;
 /// Time after which any daemon acquires a lease that the leader of the first group should have
 /// acquired.
-const LAST_RESORT_MS: u64 = 5_000;
+const LAST_RESORT_DELAY_MS: u64 = 5_000;
 
 /// The groups of engines, and who should lead them.
 #[derive(Debug, Default)]
@@ -39,11 +39,11 @@
     configured: BTreeSet<DomainName>,
     all: BTreeSet<DomainName>,
     /// Failure domains that had engines at any time.
-    ever: BTreeSet<DomainName>,
+    ever_used: BTreeSet<DomainName>,
     engines: usize,
     /// When engines were last added.
     grew_ms: u64,
-    is_shared_out: bool,
+    is_split: bool,
 }
 
 impl Groups {
@@ -58,10 +58,10 @@
             self.grew_ms = now_ms;
         }
         self.engines = engines;
-        self.ever.extend(domains.iter().cloned());
+        self.ever_used.extend(domains.iter().cloned());
         self.all = domains;
-        let most = if self.is_shared_out { FEW_ENGINES } else { MOST_ENGINES_OF_ONE };
-        self.is_shared_out = engines > most;
+        let threshold = if self.is_split { FEW_ENGINES } else { MAX_ENGINES_OF_ONE };
+        self.is_split = engines > threshold;
     }
 
     /// Returns all groups.
@@ -72,7 +72,7 @@
     /// Returns the largest possible number of groups with a leader. Every failure domain may have
     /// engines, and the lease of one whose engines are gone from the list may still be held.
     pub fn max_groups(&self) -> usize {
-        self.ever.union(&self.configured).count()
+        self.ever_used.union(&self.configured).count()
     }
 
     /// Returns the group whose leader the daemons of a failure domain sync with.
@@ -83,7 +83,7 @@
         let Some(first) = self.all.first() else {
             return self.configured.first().unwrap_or(domain);
         };
-        if !self.is_shared_out {
+        if !self.is_split {
             return first;
         }
         if self.all.contains(domain) {
@@ -102,16 +102,16 @@
         now_ms: u64,
     ) -> Option<u64> {
         let home = self.home_group(domain);
-        let busy_ms = LED_GROUP_MS * led.len() as u64;
-        match (group == home, self.is_shared_out) {
-            (true, true) => Some(busy_ms),
+        let led_delay_ms = LED_GROUP_DELAY_MS * led.len() as u64;
+        match (group == home, self.is_split) {
+            (true, true) => Some(led_delay_ms),
             (true, false) => Some(0),
-            (false, true) => (!led.is_empty()).then_some(OWN_FIRST_MS + busy_ms),
+            (false, true) => (!led.is_empty()).then_some(OTHER_GROUP_DELAY_MS + led_delay_ms),
             // A wait would count from when the lease became free, which may be long ago.
             (false, false) if led.contains(home) => {
-                (now_ms >= self.grew_ms + COMPLETE_MS).then_some(0)
+                (now_ms >= self.grew_ms + LIST_COMPLETE_MS).then_some(0)
             }
-            (false, false) => Some(LAST_RESORT_MS),
+            (false, false) => Some(LAST_RESORT_DELAY_MS),
         }
     }
 }
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -88,7 +88,7 @@
 
 /// A resignation received from another daemon, with times on this daemon's clock.
 #[derive(Debug, Clone, Copy)]
-struct SignalChange {
+struct ReceivedResignation {
     token: u64,
     at_ms: u64,
     quiet_until_ms: u64,
@@ -98,9 +98,9 @@
 /// One daemon's view of the lease.
 #[derive(Debug)]
 pub struct Lease {
-    me: Identity,
+    identity: Identity,
     timing: LeaseTiming,
-    seen: Option<Seen>,
+    seen: Option<SeenRow>,
     /// Orders may be given until then.
     held_until_ms: u64,
     /// Orders may be given from then on.
@@ -112,10 +112,10 @@
     unknown_until_ms: u64,
     /// The token under which this daemon gives no further order.
     resigned_token: Option<u64>,
-    heard: Option<SignalChange>,
+    received: Option<ReceivedResignation>,
     next_write_ms: u64,
     is_writing: bool,
-    is_leaving: bool,
+    is_releasing: bool,
     /// Number of daemons that sync with this one; before it holds the lease, with the last holder.
     daemons: u32,
 }
@@ -134,7 +134,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct SeenRow {
     row: Option<LeaseRow>,
     version: u64,
     since_ms: u64,
@@ -142,9 +142,9 @@
 
 impl Lease {
     /// Creates the view of a daemon that has not read the row yet.
-    pub fn new(me: Identity, timing: LeaseTiming) -> Self {
+    pub fn new(identity: Identity, timing: LeaseTiming) -> Self {
         Self {
-            me,
+            identity,
             timing,
             seen: None,
             held_until_ms: 0,
@@ -152,10 +152,10 @@
             settled_ms: 0,
             unknown_until_ms: 0,
             resigned_token: None,
-            heard: None,
+            received: None,
             next_write_ms: 0,
             is_writing: false,
-            is_leaving: false,
+            is_releasing: false,
             daemons: 0,
         }
     }
@@ -179,11 +179,11 @@
         if self.seen.as_ref().is_some_and(|seen| seen.version == 0 && version == 0) {
             return;
         }
-        if !row.as_ref().is_some_and(|row| self.is_mine(row)) {
+        if !row.as_ref().is_some_and(|row| self.is_own(row)) {
             self.held_until_ms = 0;
             self.daemons = row.as_ref().map_or(0, |row| row.daemons);
         }
-        self.seen = Some(Seen { row, version, since_ms: now_ms });
+        self.seen = Some(SeenRow { row, version, since_ms: now_ms });
     }
 
     /// Returns the write that is due now, if any. Its outcome must be passed to
@@ -194,21 +194,22 @@
         }
         let seen = self.seen.clone()?;
         let row = match &seen.row {
-            Some(row) if self.is_mine(row) && row.is_released => return None,
-            Some(row) if self.is_mine(row) && (self.is_leaving || !self.has_resigned(row)) => {
+            Some(row) if self.is_own(row) && row.is_released => return None,
+            Some(row) if self.is_own(row) && (self.is_releasing || !self.has_resigned(row)) => {
                 let has_begun = row.has_begun || now_ms >= self.settled_ms;
-                let (is_released, daemons) = (self.is_leaving, self.daemons);
+                let (is_released, daemons) = (self.is_releasing, self.daemons);
                 let renewals = row.renewals + 1;
                 LeaseRow { renewals, has_begun, is_released, daemons, ..row.clone() }
             }
-            _ if self.is_leaving => return None,
+            _ if self.is_releasing => return None,
             Some(_) if self.free_from_ms().is_none_or(|from_ms| now_ms < from_ms) => return None,
             other => {
                 // Even if its answer is lost, this write may acquire the lease.
                 self.quiet_until_ms = self.quiet_until_ms.max(self.quiet_end_ms(now_ms));
-                let heard_ms = self.heard_of(&seen).map_or(0, |heard| heard.settled_ms);
-                self.settled_ms = self.settled_ms.max(self.quiet_until_ms).max(heard_ms);
-                if other.as_ref().is_some_and(|row| self.is_same_machine(row)) {
+                let received_settled_ms =
+                    self.received_for(&seen).map_or(0, |received| received.settled_ms);
+                self.settled_ms = self.settled_ms.max(self.quiet_until_ms).max(received_settled_ms);
+                if other.as_ref().is_some_and(|row| self.is_same_vm(row)) {
                     let quiet_ms = self.timing.in_flight_ms + self.timing.quiet_ms + MARGIN_MS;
                     self.unknown_until_ms = now_ms + quiet_ms;
                 }
@@ -239,14 +240,14 @@
         if write.row.is_released || self.has_resigned(&write.row) {
             self.held_until_ms = 0;
         }
-        self.seen = Some(Seen { row: Some(write.row), version, since_ms: now_ms });
+        self.seen = Some(SeenRow { row: Some(write.row), version, since_ms: now_ms });
     }
 
     /// Returns the fencing number under which an order may be sent now; `None` if none may.
     pub fn may_order(&self, now_ms: u64) -> Option<u64> {
         let row = self.seen.as_ref()?.row.as_ref()?;
-        let is_time = now_ms >= self.quiet_until_ms && now_ms < self.held_until_ms;
-        (is_time && self.is_mine(row) && !row.is_released).then_some(row.token)
+        let is_in_window = now_ms >= self.quiet_until_ms && now_ms < self.held_until_ms;
+        (is_in_window && self.is_own(row) && !row.is_released).then_some(row.token)
     }
 
     /// Returns the time in which orders may be sent: its start and its end.
@@ -257,7 +258,7 @@
     /// Returns whether this daemon holds the lease, even if it must still keep quiet.
     pub fn is_holder(&self, now_ms: u64) -> bool {
         let row = self.seen.as_ref().and_then(|seen| seen.row.as_ref());
-        now_ms < self.held_until_ms && row.is_some_and(|row| self.is_mine(row))
+        now_ms < self.held_until_ms && row.is_some_and(|row| self.is_own(row))
     }
 
     /// Returns the row as last seen, with its version.
@@ -270,11 +271,11 @@
     /// `None` before the row has been read.
     pub fn free_from_ms(&self) -> Option<u64> {
         let seen = self.seen.as_ref()?;
-        if let Some(heard) = self.heard_of(seen) {
-            return Some(heard.at_ms);
+        if let Some(received) = self.received_for(seen) {
+            return Some(received.at_ms);
         }
         Some(match &seen.row {
-            Some(row) if !row.is_released && !self.is_same_machine(row) => {
+            Some(row) if !row.is_released && !self.is_same_vm(row) => {
                 seen.since_ms + self.timing.hold_ms + MARGIN_MS
             }
             _ => seen.since_ms,
@@ -285,8 +286,8 @@
     ///
     /// It does not step down sooner: while the store is slow a renewal may still succeed in time.
     pub fn has_run_out(&self, now_ms: u64) -> bool {
-        let is_mine = self.seen().is_some_and(|(row, _)| self.is_mine(row));
-        is_mine && self.held_until_ms > 0 && now_ms >= self.held_until_ms
+        let is_own = self.seen().is_some_and(|(row, _)| self.is_own(row));
+        is_own && self.held_until_ms > 0 && now_ms >= self.held_until_ms
     }
 
     /// Steps down: this daemon gives no further order under the present token.
@@ -301,7 +302,7 @@
     /// take effect.
     pub fn resignation(&self, settled_for_ms: u64, now_ms: u64) -> Option<Resignation> {
         let (row, _) = self.seen()?;
-        (self.is_mine(row) && self.has_resigned(row)).then(|| Resignation {
+        (self.is_own(row) && self.has_resigned(row)).then(|| Resignation {
             token: row.token,
             quiet_for_ms: self.quiet_until_ms.max(self.unknown_until_ms).saturating_sub(now_ms),
             settled_for_ms: settled_for_ms.max(self.settled_ms.saturating_sub(now_ms)),
@@ -310,10 +311,10 @@
 
     /// Records the resignation of a holder.
     pub fn resignation_received(&mut self, resignation: Resignation, now_ms: u64) {
-        if self.heard.is_some_and(|heard| heard.token >= resignation.token) {
+        if self.received.is_some_and(|received| received.token >= resignation.token) {
             return;
         }
-        self.heard = Some(SignalChange {
+        self.received = Some(ReceivedResignation {
             token: resignation.token,
             at_ms: now_ms,
             quiet_until_ms: now_ms + resignation.quiet_for_ms,
@@ -328,18 +329,18 @@
 
     /// Releases the lease with the next write and does not acquire it again.
     pub fn release(&mut self) {
-        self.is_leaving = true;
+        self.is_releasing = true;
         self.next_write_ms = 0;
     }
 
     /// Returns whether the daemon may stop because no write of the lease is left to do.
     pub fn is_release_done(&self) -> bool {
         let row = self.seen.as_ref().and_then(|seen| seen.row.as_ref());
-        self.is_leaving && !row.is_some_and(|row| self.is_mine(row) && !row.is_released)
+        self.is_releasing && !row.is_some_and(|row| self.is_own(row) && !row.is_released)
     }
 
-    fn is_mine(&self, row: &LeaseRow) -> bool {
-        row.holder == self.me.vm && row.incarnation == self.me.incarnation
+    fn is_own(&self, row: &LeaseRow) -> bool {
+        row.holder == self.identity.vm && row.incarnation == self.identity.incarnation
     }
 
     fn has_resigned(&self, row: &LeaseRow) -> bool {
@@ -347,21 +348,21 @@
     }
 
     /// Returns the resignation of the holder in the row that was seen, if it has stepped down.
-    fn heard_of(&self, seen: &Seen) -> Option<SignalChange> {
+    fn received_for(&self, seen: &SeenRow) -> Option<ReceivedResignation> {
         let row = seen.row.as_ref()?;
-        self.heard.filter(|heard| heard.token == row.token && !self.is_mine(row))
+        self.received.filter(|received| received.token == row.token && !self.is_own(row))
     }
 
-    fn is_same_machine(&self, row: &LeaseRow) -> bool {
-        row.holder == self.me.vm
+    fn is_same_vm(&self, row: &LeaseRow) -> bool {
+        row.holder == self.identity.vm
     }
 
     fn first_row(&self, token: u64, has_begun: bool) -> LeaseRow {
         LeaseRow {
-            holder: self.me.vm.clone(),
-            address: self.me.address,
-            millicores: self.me.millicores,
-            incarnation: self.me.incarnation,
+            holder: self.identity.vm.clone(),
+            address: self.identity.address,
+            millicores: self.identity.millicores,
+            incarnation: self.identity.incarnation,
             token,
             renewals: 0,
             has_begun,
@@ -376,10 +377,10 @@
     fn quiet_end_ms(&self, now_ms: u64) -> u64 {
         let Some(seen) = &self.seen else { return now_ms };
         let Some(row) = &seen.row else { return now_ms };
-        if let Some(heard) = self.heard_of(seen) {
-            return heard.quiet_until_ms.max(now_ms);
+        if let Some(received) = self.received_for(seen) {
+            return received.quiet_until_ms.max(now_ms);
         }
-        if self.is_same_machine(row) {
+        if self.is_same_vm(row) {
             let quiet_ms = if row.has_begun { 0 } else { self.timing.quiet_ms + MARGIN_MS };
             return now_ms + quiet_ms;
         }
--- a/crates/trestle-dispatch/src/member_count.rs
+++ b/crates/trestle-dispatch/src/member_count.rs
@@ -17,35 +17,35 @@
 /// The daemons that sync with one leader.
 #[derive(Debug, Default)]
 pub struct MemberCount {
-    told_ms: BTreeMap<VmName, u64>,
+    last_report_ms: BTreeMap<VmName, u64>,
     began_ms: u64,
-    before: usize,
+    previous: usize,
 }
 
 impl MemberCount {
-    /// Starts counting; `before` is the count in the leases that were taken over.
-    pub fn begin(&mut self, before: usize, now_ms: u64) {
-        *self = Self { told_ms: BTreeMap::new(), began_ms: now_ms, before };
+    /// Starts counting; `previous` is the count in the leases that were taken over.
+    pub fn begin(&mut self, previous: usize, now_ms: u64) {
+        *self = Self { last_report_ms: BTreeMap::new(), began_ms: now_ms, previous };
     }
 
     /// Records a report of a daemon.
     pub fn report_received(&mut self, daemon: VmName, now_ms: u64) {
-        self.told_ms.insert(daemon, now_ms);
+        self.last_report_ms.insert(daemon, now_ms);
     }
 
     /// Returns the number of daemons that have reported lately; 0 while the count may be
     /// incomplete.
     pub fn count(&mut self, now_ms: u64) -> usize {
-        self.told_ms.retain(|_, told_ms| now_ms < *told_ms + COUNTED_MS);
-        let before = if now_ms < self.began_ms + COUNTED_MS { self.before } else { 0 };
-        if before == 0 && now_ms < self.began_ms + COMPLETE_MS {
+        self.last_report_ms.retain(|_, last_report_ms| now_ms < *last_report_ms + COUNTED_MS);
+        let previous = if now_ms < self.began_ms + COUNTED_MS { self.previous } else { 0 };
+        if previous == 0 && now_ms < self.began_ms + COMPLETE_MS {
             return 0;
         }
-        self.told_ms.len().max(before)
+        self.last_report_ms.len().max(previous)
     }
 
     /// Returns the number of daemons counted so far, complete or not.
     pub fn current(&self) -> usize {
-        self.told_ms.len()
+        self.last_report_ms.len()
     }
 }
--- a/crates/trestle-dispatch/src/observed_times.rs
+++ b/crates/trestle-dispatch/src/observed_times.rs
@@ -6,7 +6,7 @@
 };
 
 /// Time for which an unload waits for running requests, until one was observed.
-const FIRST_RUN_WAIT_MS: f64 = 2_800.0;
+const INITIAL_RUN_WAIT_MS: f64 = 2_800.0;
 /// Weight of the newest time in the average.
 const NEWEST_WEIGHT: f64 = 0.2;
 
@@ -30,7 +30,7 @@
 
     /// Returns the average time for which an unload waits for running requests.
     pub fn run_wait_ms(&self, policy: &Policy) -> f64 {
-        let learnt = self.run_wait_ms.get().filter(|_| policy.has(Mechanism::LearntTimes));
-        learnt.unwrap_or(FIRST_RUN_WAIT_MS)
+        let observed = self.run_wait_ms.get().filter(|_| policy.has(Mechanism::LearntTimes));
+        observed.unwrap_or(INITIAL_RUN_WAIT_MS)
     }
 }
--- a/crates/trestle-dispatch/src/orders.rs
+++ b/crates/trestle-dispatch/src/orders.rs
@@ -19,7 +19,7 @@
 /// Pause before an order is sent again while the engine is unloading.
 const BUSY_PAUSE_MS: u64 = 70;
 /// Pause before an order is sent again while the engine finishes a load that should be done.
-const SETTLE_PAUSE_MS: u64 = 50;
+const CONFIRM_PAUSE_MS: u64 = 50;
 /// Pause before an order without an answer is sent again.
 const UNANSWERED_PAUSE_MS: u64 = 100;
 /// Pause between two requests for an engine's report.
@@ -33,9 +33,9 @@
 /// tried in steps of [`BUSY_PAUSE_MS`].
 const IDLE_UNLOAD_MS: u64 = 220;
 /// Sends of one order without an answer after which the change fails.
-const MOST_UNANSWERED: u32 = 6;
+const MAX_UNANSWERED: u32 = 6;
 /// Conflicts in a row after which the engine's report is requested.
-const CONFLICTS_BEFORE_LOOK: u32 = 6;
+const CONFLICTS_BEFORE_REPORT: u32 = 6;
 
 /// An order to an engine.
 #[trestle_macros::plain]
@@ -104,13 +104,13 @@
 pub struct OrderChain {
     spec: Arc<EngineSpec>,
     steps: Vec<Order>,
-    at: usize,
+    position: usize,
     held: Held,
     order_count: u64,
     /// Whether the count is certain enough to send an order with it.
     is_counted: bool,
     /// Whether the last order was accepted and its effect is not confirmed yet.
-    is_settling: bool,
+    is_confirming: bool,
     /// Expected time of the load in the last order.
     load_ms: u64,
     accepted_ms: u64,
@@ -138,11 +138,11 @@
         let mut chain = Self {
             spec,
             steps,
-            at: 0,
+            position: 0,
             held,
             order_count: order_count.unwrap_or_default(),
             is_counted: order_count.is_some(),
-            is_settling: false,
+            is_confirming: false,
             load_ms,
             accepted_ms: 0,
             unload_ms: None,
@@ -160,8 +160,9 @@
 
     /// Returns the next step, and the earliest time for it.
     pub fn next(&self) -> (NextStep, u64) {
-        let step = if self.is_settling { self.at.checked_sub(1) } else { Some(self.at) };
-        let step = step.and_then(|at| self.steps.get(at));
+        let step =
+            if self.is_confirming { self.position.checked_sub(1) } else { Some(self.position) };
+        let step = step.and_then(|position| self.steps.get(position));
         let next = match (self.failure, step) {
             (Some(failure), _) => NextStep::Failed(failure),
             (None, _) if !self.is_counted => NextStep::Report,
@@ -179,7 +180,7 @@
         match answer {
             OrderAnswer::Accepted => self.accepted(now_ms),
             OrderAnswer::Fulfilled => self.fulfilled(now_ms),
-            OrderAnswer::Conflict => self.refused(now_ms),
+            OrderAnswer::Conflict => self.conflicted(now_ms),
             OrderAnswer::Unknown => {
                 self.not_before_ms = now_ms + UNANSWERED_PAUSE_MS;
                 self.count_unanswered();
@@ -204,14 +205,14 @@
         }
         self.not_before_ms = now_ms;
         self.is_counted = true;
-        self.is_settling = false;
+        self.is_confirming = false;
         self.conflicts = 0;
         self.order_count = report.order_count;
         self.held.clone_from(&report.held);
-        while self.steps.get(self.at).is_some_and(|step| holds(step, &self.held)) {
-            self.at += 1;
+        while self.steps.get(self.position).is_some_and(|step| is_in_place(step, &self.held)) {
+            self.position += 1;
         }
-        if self.steps[..self.at].iter().any(|step| !holds(step, &self.held)) {
+        if self.steps[..self.position].iter().any(|step| !is_in_place(step, &self.held)) {
             self.failure = Some(Failure::Changed);
         }
         self.check_room();
@@ -248,12 +249,12 @@
         self.order_count += 1;
         self.accepted_ms = now_ms;
         self.conflicts = 0;
-        if self.is_settling {
+        if self.is_confirming {
             // The engine did not hold the model after all and has begun to load it again.
             self.not_before_ms = now_ms + self.load_ms;
             return;
         }
-        let step = &self.steps[self.at];
+        let step = &self.steps[self.position];
         match (step, self.unload_ms) {
             (Order::UnloadModel(_), None) => self.unload_ms = Some(now_ms),
             (Order::LoadModel(_), Some(at_ms)) => self.unloaded_after_ms = Some(now_ms - at_ms),
@@ -266,22 +267,22 @@
             Order::LoadAdapter(..) => now_ms,
             Order::UnloadAdapter(..) => now_ms + ADAPTER_REPORT_MS,
         };
-        self.is_settling = matches!(step, Order::LoadModel(_));
+        self.is_confirming = matches!(step, Order::LoadModel(_));
         // An adapter in use is unloaded when its requests have ended, and the engine is not busy
         // meanwhile: only its report tells whether there is room.
         self.is_counted &= !matches!(step, Order::UnloadAdapter(..));
-        self.at += 1;
+        self.position += 1;
         self.check_room();
     }
 
     fn fulfilled(&mut self, now_ms: u64) {
         self.conflicts = 0;
         self.not_before_ms = now_ms;
-        if self.is_settling {
-            self.is_settling = false;
+        if self.is_confirming {
+            self.is_confirming = false;
             return;
         }
-        let Some(step) = self.steps.get(self.at) else { return };
+        let Some(step) = self.steps.get(self.position) else { return };
         apply(step, &mut self.held);
         // An adapter that no request uses is unloaded at once, and that counts as an order; one
         // that was already gone does not. A load that expects one order too many may be carried out
@@ -292,32 +293,32 @@
             self.is_counted = false;
             self.not_before_ms = now_ms + ADAPTER_REPORT_MS;
         }
-        self.at += 1;
+        self.position += 1;
         self.check_room();
     }
 
-    fn refused(&mut self, now_ms: u64) {
+    fn conflicted(&mut self, now_ms: u64) {
         self.conflicts += 1;
-        let is_waiting = self.is_settling || self.at > 0;
-        if !is_waiting || self.conflicts.is_multiple_of(CONFLICTS_BEFORE_LOOK) {
+        let is_waiting = self.is_confirming || self.position > 0;
+        if !is_waiting || self.conflicts.is_multiple_of(CONFLICTS_BEFORE_REPORT) {
             self.is_counted = false;
             self.not_before_ms = now_ms;
             return;
         }
-        let pause_ms = if self.is_settling { SETTLE_PAUSE_MS } else { BUSY_PAUSE_MS };
+        let pause_ms = if self.is_confirming { CONFIRM_PAUSE_MS } else { BUSY_PAUSE_MS };
         self.not_before_ms = now_ms + pause_ms;
     }
 
     fn count_unanswered(&mut self) {
         self.unanswered += 1;
-        if self.unanswered >= MOST_UNANSWERED {
+        if self.unanswered >= MAX_UNANSWERED {
             self.failure = Some(Failure::Silent);
         }
     }
 
     /// Fails the change if the next order does not fit what the engine holds.
     fn check_room(&mut self) {
-        let Some(step) = self.steps.get(self.at) else { return };
+        let Some(step) = self.steps.get(self.position) else { return };
         let adapters: usize = self.held.values().map(BTreeSet::len).sum();
         let fits = match step {
             Order::LoadModel(model) => {
@@ -337,7 +338,7 @@
 }
 
 /// Returns whether the effect of an order is in place.
-fn holds(order: &Order, held: &Held) -> bool {
+fn is_in_place(order: &Order, held: &Held) -> bool {
     let has = |model: &ModelName, adapter: &AdapterName| {
         held.get(model).is_some_and(|adapters| adapters.contains(adapter))
     };
--- a/crates/trestle-dispatch/src/placement_log.rs
+++ b/crates/trestle-dispatch/src/placement_log.rs
@@ -98,12 +98,12 @@
 
 /// A mapping between names and numbers.
 #[derive(Debug, Default)]
-struct Numbers {
+struct NameTable {
     names: Vec<Arc<str>>,
     numbers: BTreeMap<Arc<str>, u32>,
 }
 
-impl Numbers {
+impl NameTable {
     /// Returns the number of a name; assigns a new one if it has none.
     fn of(&mut self, name: &str) -> u32 {
         match self.numbers.get(name) {
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 pub struct PlacementLog {
     id: u64,
-    numbers: Numbers,
+    numbers: NameTable,
     engines: BTreeMap<u32, (EndpointName, Held)>,
     changes: VecDeque<PlacementChange>,
     /// Number of changes recorded so far.
@@ -140,7 +140,7 @@
     pub fn new(id: u64) -> Self {
         Self {
             id,
-            numbers: Numbers::default(),
+            numbers: NameTable::default(),
             engines: BTreeMap::new(),
             changes: VecDeque::new(),
             sequence: 0,
@@ -157,7 +157,7 @@
         }
         for engine in gone {
             self.engines.remove(&engine);
-            self.note(PlacementChange::Gone { engine });
+            self.record(PlacementChange::Gone { engine });
         }
         while self.changes.len() > KEPT_CHANGES {
             self.changes.pop_front();
@@ -172,48 +172,51 @@
             }
             Some((_, before)) => before,
             None => {
-                self.note(PlacementChange::Listed { engine });
+                self.record(PlacementChange::Listed { engine });
                 Held::new()
             }
         };
         for model in before.keys().filter(|model| !holds.contains_key(*model)) {
             let model = self.numbers.of(model.as_str());
-            self.note(PlacementChange::NoModel { engine, model });
+            self.record(PlacementChange::NoModel { engine, model });
         }
         let nothing = BTreeSet::new();
         for (model, adapters) in holds {
             let known = before.get(model);
             let model = self.numbers.of(model.as_str());
             if known.is_none() {
-                self.note(PlacementChange::Model { engine, model });
+                self.record(PlacementChange::Model { engine, model });
             }
             let known = known.unwrap_or(&nothing);
             for adapter in known.difference(adapters) {
                 let adapter = self.numbers.of(adapter.as_str());
-                self.note(PlacementChange::NoAdapter { engine, model, adapter });
+                self.record(PlacementChange::NoAdapter { engine, model, adapter });
             }
             for adapter in adapters.difference(known) {
                 let adapter = self.numbers.of(adapter.as_str());
-                self.note(PlacementChange::Adapter { engine, model, adapter });
+                self.record(PlacementChange::Adapter { engine, model, adapter });
             }
         }
         self.engines.insert(engine, (name.clone(), holds.clone()));
     }
 
-    fn note(&mut self, change: PlacementChange) {
+    fn record(&mut self, change: PlacementChange) {
         self.changes.push_back(change);
         self.sequence += 1;
     }
 
     /// Returns what a daemon with this position lacks.
-    pub fn delta(&self, have: PlacementPosition) -> PlacementDelta {
+    pub fn delta(&self, position: PlacementPosition) -> PlacementDelta {
         let kept_since = self.sequence - self.changes.len() as u64;
-        let is_known = have.log == self.id && (kept_since..=self.sequence).contains(&have.sequence);
-        let first_name = if is_known { have.names } else { 0 };
+        let is_known =
+            position.log == self.id && (kept_since..=self.sequence).contains(&position.sequence);
+        let first_name = if is_known { position.names } else { 0 };
         let names = self.numbers.names.get(first_name as usize..).unwrap_or_default();
         let changes = match is_known {
-            true => self.changes.range((have.sequence - kept_since) as usize..).copied().collect(),
-            false => self.everything(),
+            true => {
+                self.changes.range((position.sequence - kept_since) as usize..).copied().collect()
+            }
+            false => self.all_placements(),
         };
         PlacementDelta {
             log: self.id,
@@ -225,7 +228,7 @@
         }
     }
 
-    fn everything(&self) -> Vec<PlacementChange> {
+    fn all_placements(&self) -> Vec<PlacementChange> {
         let number = |name: &str| self.numbers.numbers.get(name).copied().unwrap_or_default();
         let mut changes = Vec::new();
         for (engine, (_, holds)) in &self.engines {
@@ -288,7 +291,7 @@
 pub struct PlacementMirror {
     log: u64,
     sequence: u64,
-    numbers: Numbers,
+    numbers: NameTable,
     engines: BTreeMap<u32, (EndpointName, Held)>,
 }
 
--- a/crates/trestle-dispatch/src/placing.rs
+++ b/crates/trestle-dispatch/src/placing.rs
@@ -25,13 +25,13 @@
     sharing::{EngineView, Sharing},
     usage::Usage,
 };
-use eviction::Leavers;
+use eviction::EvictionCandidates;
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{AdapterName, EndpointName, ModelName};
 
 /// Number of models considered for a further replica, in the order of their gain, if there are
 /// several leaders: some of the models belong at other leaders' engines.
-const FURTHER_TRIED: usize = 4;
+const MAX_FURTHER_CONSIDERED: usize = 4;
 /// Cost of a fully loaded engine compared with an idle one, as time.
 const FULL_ENGINE_MS: f64 = 800.0;
 /// Time of an unload while no request runs.
@@ -54,18 +54,18 @@
 
 impl EngineState<'_> {
     /// Returns the models that the engine holds and is not about to evict.
-    fn staying(&self) -> impl Iterator<Item = &ModelName> {
-        let coming = self.coming();
-        self.held.keys().filter(move |model| !self.goes(model) && Some(*model) != coming)
+    fn kept(&self) -> impl Iterator<Item = &ModelName> {
+        let loading = self.loading();
+        self.held.keys().filter(move |model| !self.evicts(model) && Some(*model) != loading)
     }
 
     /// Returns the model that the engine is loading.
-    fn coming(&self) -> Option<&ModelName> {
+    fn loading(&self) -> Option<&ModelName> {
         self.change.filter(|change| change.adapter.is_none()).map(|change| &change.model)
     }
 
     /// Returns whether the change in progress evicts a model.
-    fn goes(&self, model: &ModelName) -> bool {
+    fn evicts(&self, model: &ModelName) -> bool {
         self.change.is_some_and(|change| change.evicted.contains(model))
     }
 }
@@ -116,14 +116,14 @@
     /// Models that engines of other leaders can run.
     elsewhere: BTreeSet<&'a ModelName>,
     /// Engines with a local copy of each model's weights.
-    near: BTreeMap<&'a ModelName, Vec<&'a EndpointName>>,
+    local_copies: BTreeMap<&'a ModelName, Vec<&'a EndpointName>>,
     /// Models in demand.
-    waited_for: BTreeSet<&'a ModelName>,
+    models_in_demand: BTreeSet<&'a ModelName>,
     /// Adapters in demand.
-    wanted_adapters: BTreeSet<(&'a ModelName, &'a AdapterName)>,
+    adapters_in_demand: BTreeSet<(&'a ModelName, &'a AdapterName)>,
     /// What each engine could evict. Many models are tried at the same engines, so this is computed
     /// again only where it has changed.
-    leavers: Option<BTreeMap<&'a EndpointName, Leavers>>,
+    candidates: Option<BTreeMap<&'a EndpointName, EvictionCandidates>>,
     remote_loads: usize,
     plan: Plan,
 }
@@ -131,24 +131,24 @@
 impl<'a> Planner<'a> {
     /// Creates the planner of one service.
     pub fn new(inputs: PlanInputs<'a>, engines: impl IntoIterator<Item = EngineState<'a>>) -> Self {
-        let PlanInputs { spec, demand, observed_times: learnt, policy, sharing, now_ms } = inputs;
+        let PlanInputs { spec, demand, observed_times, policy, sharing, now_ms } = inputs;
         let engines: BTreeMap<_, _> =
             engines.into_iter().map(|state| (&state.endpoint.name, state)).collect();
-        let staying = || {
+        let kept = || {
             let elsewhere = sharing.engines().flat_map(|foreign| foreign.holds.keys());
-            engines.values().flat_map(EngineState::staying).chain(elsewhere)
+            engines.values().flat_map(EngineState::kept).chain(elsewhere)
         };
-        let present = count(staying());
-        let coming = engines.values().filter_map(EngineState::coming);
-        let replicas = count(staying().chain(coming));
+        let present = count(kept());
+        let loading = engines.values().filter_map(EngineState::loading);
+        let replicas = count(kept().chain(loading));
         let elsewhere = sharing.engines().flat_map(|foreign| foreign.holds.keys()).collect();
-        let near = near(engines.values().map(|state| state.endpoint));
-        let under_way = engines.values().filter_map(|state| state.change);
-        let remote_loads = under_way.filter(|change| change.is_remote).count();
+        let local_copies = local_copies(engines.values().map(|state| state.endpoint));
+        let in_progress = engines.values().filter_map(|state| state.change);
+        let remote_loads = in_progress.filter(|change| change.is_remote).count();
         Self {
             spec,
             demand,
-            observed_times: learnt,
+            observed_times,
             policy,
             sharing,
             usage: demand.usage(now_ms),
@@ -157,10 +157,10 @@
             replicas,
             present,
             elsewhere,
-            near,
-            waited_for: BTreeSet::new(),
-            wanted_adapters: BTreeSet::new(),
-            leavers: None,
+            local_copies,
+            models_in_demand: BTreeSet::new(),
+            adapters_in_demand: BTreeSet::new(),
+            candidates: None,
             remote_loads,
             plan: Plan::default(),
         }
@@ -168,51 +168,52 @@
 
     /// Returns the plan.
     pub fn plan(mut self) -> Plan {
-        let wants = self.demand.aggregate(self.now_ms);
-        self.waited_for = wants.iter().map(|want| want.model).collect();
-        let adapters = wants.iter().filter_map(|want| Some((want.model, want.adapter?)));
-        self.wanted_adapters = adapters.collect();
+        let demands = self.demand.aggregate(self.now_ms);
+        self.models_in_demand = demands.iter().map(|demand| demand.model).collect();
+        let adapters = demands.iter().filter_map(|demand| Some((demand.model, demand.adapter?)));
+        self.adapters_in_demand = adapters.collect();
         let sharing = self.sharing;
-        let here = self.demand.aggregate_where(self.now_ms, |wish| sharing.is_assigned_here(wish));
-        let mut far = Vec::new();
-        for want in &here {
-            match want.adapter {
-                Some(adapter) if self.replicas(want.model) > 0 => {
-                    self.want_adapter(want.model, adapter);
+        let assigned =
+            self.demand.aggregate_where(self.now_ms, |loadable| sharing.is_assigned_here(loadable));
+        let mut remote_only = Vec::new();
+        for demand in &assigned {
+            match demand.adapter {
+                Some(adapter) if self.replicas(demand.model) > 0 => {
+                    self.plan_adapter(demand.model, adapter);
                 }
-                _ if self.want_model(want, Reach::Near) => {}
-                _ => far.push(want),
+                _ if self.plan_model(demand, Source::Local) => {}
+                _ => remote_only.push(demand),
             }
         }
-        self.want_further_replica();
-        self.want_far(far);
+        self.plan_further_replica();
+        self.plan_remote(remote_only);
         self.plan
     }
 
     /// Plans for a model in demand; returns whether it is ready, loading or going to be loaded.
-    fn want_model(&mut self, want: &AggregateDemand<'a>, reach: Reach) -> bool {
-        let model = want.model;
+    fn plan_model(&mut self, demand: &AggregateDemand<'a>, source: Source) -> bool {
+        let model = demand.model;
         if self.plan.ready_in_ms.contains_key(&Loadable::model(model)) {
             return true;
         }
         if let Some(ready_in_ms) = self.ready_in_ms(model) {
-            self.note_ready(want, ready_in_ms);
+            self.record_ready(demand, ready_in_ms);
             return true;
         }
-        let gain_ms = self.gain_of_first_ms(want);
-        let Some(offer) = self.best_offer(model, gain_ms, reach) else { return false };
-        self.note_ready(want, offer.ready_in_ms);
-        if let Some(change) = offer.change {
+        let gain_ms = self.gain_of_first_ms(demand);
+        let Some(option) = self.best_option(model, gain_ms, source) else { return false };
+        self.record_ready(demand, option.ready_in_ms);
+        if let Some(change) = option.change {
             self.begin(change);
         }
         true
     }
 
     /// Records when a model, and the adapter in demand with it, will be ready.
-    fn note_ready(&mut self, want: &AggregateDemand<'_>, ready_in_ms: u64) {
-        self.plan.ready_in_ms.insert(Loadable::model(want.model), ready_in_ms);
-        if let Some(adapter) = want.adapter {
-            let with_adapter = Loadable::new(want.model, Some(adapter));
+    fn record_ready(&mut self, demand: &AggregateDemand<'_>, ready_in_ms: u64) {
+        self.plan.ready_in_ms.insert(Loadable::model(demand.model), ready_in_ms);
+        if let Some(adapter) = demand.adapter {
+            let with_adapter = Loadable::new(demand.model, Some(adapter));
             let ready_in_ms = ready_in_ms + adapters::LOAD_MS;
             self.plan.ready_in_ms.insert(with_adapter, ready_in_ms);
         }
@@ -229,21 +230,22 @@
         if change.adapter.is_none() {
             *self.replicas.entry(change.model.clone()).or_default() += 1;
         }
-        self.note_stale(&change);
+        self.refresh_candidates(&change);
         self.remote_loads += usize::from(change.is_remote);
         self.plan.changes.push(change);
     }
 
     /// Computes again what can be evicted at the engines that hold a model evicted by this change.
-    fn note_stale(&mut self, change: &Change) {
-        let Some(mut leavers) = self.leavers.take() else { return };
+    fn refresh_candidates(&mut self, change: &Change) {
+        let Some(mut candidates) = self.candidates.take() else { return };
         let loses = |state: &EngineState<'_>| {
             change.evicted.iter().any(|model| state.held.contains_key(model))
         };
         let stale = self.engines.iter().filter(|(_, state)| loses(state));
-        let anew: Vec<_> = stale.map(|(name, state)| (*name, self.leavers_at(state))).collect();
-        leavers.extend(anew);
-        self.leavers = Some(leavers);
+        let refreshed: Vec<_> =
+            stale.map(|(name, state)| (*name, self.candidates_at(state))).collect();
+        candidates.extend(refreshed);
+        self.candidates = Some(candidates);
     }
 
     /// Returns the time until a model is ready anywhere, from what is loaded or loading.
@@ -267,61 +269,66 @@
     ///
     /// The weight store is considered only if no engine with a local copy can load the model:
     /// considering every engine for every demand took two thirds of the time of a plan.
-    fn best_offer(&mut self, model: &ModelName, gain_ms: f64, reach: Reach) -> Option<Offer> {
+    fn best_option(
+        &mut self,
+        model: &ModelName,
+        gain_ms: f64,
+        source: Source,
+    ) -> Option<LoadOption> {
         let spec = self.spec.models.get(model)?;
-        let leavers = self.leavers.take().unwrap_or_else(|| self.leavers());
-        let near = self.near.get(model).into_iter().flatten().copied();
-        let mut offer = self.best_offer_of(model, spec, near, &leavers, gain_ms);
-        if offer.is_none() && reach == Reach::Far {
+        let candidates = self.candidates.take().unwrap_or_else(|| self.candidates());
+        let local_copies = self.local_copies.get(model).into_iter().flatten().copied();
+        let mut option = self.best_option_among(model, spec, local_copies, &candidates, gain_ms);
+        if option.is_none() && source == Source::Remote {
             let all = self.engines.keys().copied();
-            offer = self.best_offer_of(model, spec, all, &leavers, gain_ms);
+            option = self.best_option_among(model, spec, all, &candidates, gain_ms);
         }
-        self.leavers = Some(leavers);
-        offer
+        self.candidates = Some(candidates);
+        option
     }
 
-    fn best_offer_of(
+    fn best_option_among(
         &self,
         model: &ModelName,
         spec: &ModelSpec,
         engines: impl Iterator<Item = &'a EndpointName>,
-        leavers: &BTreeMap<&'a EndpointName, Leavers>,
+        candidates: &BTreeMap<&'a EndpointName, EvictionCandidates>,
         gain_ms: f64,
-    ) -> Option<Offer> {
-        let engines = engines.filter_map(|name| self.engines.get(name).zip(leavers.get(name)));
-        let offers =
-            engines.filter_map(|(state, leavers)| self.offer(model, spec, state, leavers, gain_ms));
+    ) -> Option<LoadOption> {
+        let engines = engines.filter_map(|name| self.engines.get(name).zip(candidates.get(name)));
+        let options = engines
+            .filter_map(|(state, candidates)| self.option(model, spec, state, candidates, gain_ms));
         let is_guarded = self.policy.has(Mechanism::GuardedEviction);
-        let offers = offers.filter(|offer| !is_guarded || offer.miss_ms <= gain_ms);
-        offers.min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))
+        let options = options.filter(|option| !is_guarded || option.lost_ms <= gain_ms);
+        options.min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))
     }
 
     /// Returns the cost and the outcome of loading a model at one engine; `None` if that is not
     /// possible.
-    fn offer(
+    fn option(
         &self,
         model: &ModelName,
         spec: &ModelSpec,
         state: &EngineState<'_>,
-        leavers: &Leavers,
+        candidates: &EvictionCandidates,
         gain_ms: f64,
-    ) -> Option<Offer> {
+    ) -> Option<LoadOption> {
         let endpoint = state.endpoint;
         if state.held.contains_key(model) || !state.may_change {
             return None;
         }
-        let under_way = state.change.or_else(|| self.planned_at(&endpoint.name));
-        let busy_ms = under_way.map_or(0, |change| change.remaining_ms(self.now_ms));
+        let in_progress = state.change.or_else(|| self.planned_at(&endpoint.name));
+        let busy_ms = in_progress.map_or(0, |change| change.remaining_ms(self.now_ms));
         let (load_ms, is_remote) = spec.load_ms(endpoint, model);
-        if is_remote && self.remote_loads >= self.most_remote_loads() {
+        if is_remote && self.remote_loads >= self.max_remote_loads() {
             return None;
         }
-        let eviction = leavers.make_room(spec.weights_mb)?;
+        let eviction = candidates.make_room(spec.weights_mb)?;
         let unload_ms = if eviction.models.is_empty() { 0 } else { UNLOAD_MS };
         let ready_in_ms = busy_ms + unload_ms + eviction.run_wait_ms as u64 + load_ms;
         let fill = f64::from(self.usage.at(&endpoint.name)) / f64::from(self.spec.slots.max(1));
         let late_ms = gain_ms * value::late_share(fill);
-        let cost_ms = ready_in_ms as f64 + eviction.miss_ms + fill * FULL_ENGINE_MS + late_ms;
+        let cost_ms = ready_in_ms as f64 + eviction.lost_ms + fill * FULL_ENGINE_MS + late_ms;
         let change = Change {
             endpoint: endpoint.name.clone(),
             evicted: eviction.models,
@@ -332,8 +339,8 @@
             load_ms,
             done_at_ms: self.now_ms + ready_in_ms,
         };
-        let change = under_way.is_none().then_some(change);
-        Some(Offer { change, ready_in_ms, cost_ms, miss_ms: eviction.miss_ms })
+        let change = in_progress.is_none().then_some(change);
+        Some(LoadOption { change, ready_in_ms, cost_ms, lost_ms: eviction.lost_ms })
     }
 
     /// Returns the change that this plan begins at an engine.
@@ -353,28 +360,29 @@
     }
 
     /// Loads a further replica of the model that gains most by it, if that evicts less value.
-    fn want_further_replica(&mut self) {
+    fn plan_further_replica(&mut self) {
         if !self.policy.has(Mechanism::FurtherReplicas) {
             return;
         }
-        let there = self.replicas.iter().filter(|(_, count)| **count > 0);
-        let there = there.filter(|(model, _)| self.may_gain(model));
-        let gains = there.map(|(model, _)| {
+        let loaded = self.replicas.iter().filter(|(_, count)| **count > 0);
+        let loaded = loaded.filter(|(model, _)| self.may_gain(model));
+        let gains = loaded.map(|(model, _)| {
             let gain_ms = self.gain_of_further_ms(model) - value::SWAP_MS;
             (gain_ms, model)
         });
         let mut gains: Vec<_> = gains.filter(|(gain_ms, _)| *gain_ms > 0.0).collect();
         gains.sort_by(|one, other| other.0.total_cmp(&one.0));
-        let tried = if self.sharing.is_alone() { 1 } else { FURTHER_TRIED };
-        let mut best = gains.into_iter().take(tried);
-        let Some((gain_ms, model)) = best.find(|(_, model)| self.is_next_here(model)) else {
+        let limit = if self.sharing.is_alone() { 1 } else { MAX_FURTHER_CONSIDERED };
+        let mut considered = gains.into_iter().take(limit);
+        let Some((gain_ms, model)) = considered.find(|(_, model)| self.is_next_replica_here(model))
+        else {
             return;
         };
         let model = model.clone();
         let model = &model;
-        let reach = if self.is_worth_a_far_load(model) { Reach::Far } else { Reach::Near };
-        let Some(offer) = self.best_offer(model, gain_ms, reach) else { return };
-        if let Some(change) = offer.change {
+        let source = if self.is_worth_remote_load(model) { Source::Remote } else { Source::Local };
+        let Some(option) = self.best_option(model, gain_ms, source) else { return };
+        if let Some(change) = option.change {
             self.begin(change);
         }
     }
@@ -382,7 +390,7 @@
 
 impl Planner<'_> {
     /// Returns whether the next replica of a model belongs at this leader's engines.
-    fn is_next_here(&self, model: &ModelName) -> bool {
+    fn is_next_replica_here(&self, model: &ModelName) -> bool {
         if self.sharing.is_alone() {
             return true;
         }
@@ -398,34 +406,34 @@
 }
 
 /// Returns the engines with a local copy of each model's weights.
-fn near<'a>(
+fn local_copies<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
 ) -> BTreeMap<&'a ModelName, Vec<&'a EndpointName>> {
-    let mut near: BTreeMap<&ModelName, Vec<&EndpointName>> = BTreeMap::new();
+    let mut local_copies: BTreeMap<&ModelName, Vec<&EndpointName>> = BTreeMap::new();
     for endpoint in endpoints {
         for model in endpoint.on_disk.union(&endpoint.in_memory) {
-            near.entry(model).or_default().push(&endpoint.name);
+            local_copies.entry(model).or_default().push(&endpoint.name);
         }
     }
-    near
+    local_copies
 }
 
 /// Where weights may be loaded from.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum Source {
     /// From a copy in the engine's memory or on its disk.
-    Near,
+    Local,
     /// Also from the weight store.
-    Far,
+    Remote,
 }
 
 /// One way to load a model, at one engine.
-struct Offer {
+struct LoadOption {
     /// The change; `None` while another one is in progress there.
     change: Option<Change>,
     ready_in_ms: u64,
     cost_ms: f64,
-    miss_ms: f64,
+    lost_ms: f64,
 }
 
 /// Counts the occurrences of each model.
--- a/crates/trestle-dispatch/src/placing/adapters.rs
+++ b/crates/trestle-dispatch/src/placing/adapters.rs
@@ -15,19 +15,19 @@
 
 impl<'a> Planner<'a> {
     /// Loads an adapter at one replica of its model, the same one each time.
-    pub(super) fn want_adapter(&mut self, model: &'a ModelName, adapter: &'a AdapterName) {
+    pub(super) fn plan_adapter(&mut self, model: &'a ModelName, adapter: &'a AdapterName) {
         let loadable = Loadable::new(model, Some(adapter));
         if self.plan.ready_in_ms.contains_key(&loadable) {
             return;
         }
         let Some(ready_in_ms) = self.adapter_ready_in_ms(model, adapter) else {
-            match self.bring_adapter(model, adapter) {
+            match self.load_adapter(model, adapter) {
                 Some(change) => {
                     let ready_in_ms = change.done_at_ms - self.now_ms;
                     self.plan.ready_in_ms.insert(loadable, ready_in_ms);
                     self.begin(change);
                 }
-                None => self.note_host_ready(loadable),
+                None => self.record_host_ready(loadable),
             }
             return;
         };
@@ -36,21 +36,21 @@
 
     /// Returns the time until an adapter is ready, from what is loaded or loading.
     fn adapter_ready_in_ms(&self, model: &ModelName, adapter: &AdapterName) -> Option<u64> {
-        let is_there = self.engines.values().any(|state| {
+        let is_ready = self.engines.values().any(|state| {
             let has = state.held.get(model).is_some_and(|adapters| adapters.contains(adapter));
-            has && !state.goes(model) && !self.is_on_its_way(state, model, adapter)
+            has && !state.evicts(model) && !self.is_loading(state, model, adapter)
         });
-        if is_there {
+        if is_ready {
             return Some(0);
         }
-        let under_way = self.engines.values().filter_map(|state| state.change);
-        let coming = under_way
+        let in_progress = self.engines.values().filter_map(|state| state.change);
+        let loading = in_progress
             .chain(&self.plan.changes)
             .filter(|change| change.model == *model && change.adapter.as_ref() == Some(adapter));
-        coming.map(|change| change.remaining_ms(self.now_ms)).min()
+        loading.map(|change| change.remaining_ms(self.now_ms)).min()
     }
 
-    fn is_on_its_way(
+    fn is_loading(
         &self,
         state: &EngineState<'_>,
         model: &ModelName,
@@ -62,7 +62,7 @@
     }
 
     /// Returns a change that loads an adapter; `None` if no engine can begin one.
-    fn bring_adapter(&self, model: &ModelName, adapter: &AdapterName) -> Option<Change> {
+    fn load_adapter(&self, model: &ModelName, adapter: &AdapterName) -> Option<Change> {
         let spec = self.spec.models.get(model)?;
         let key = (model.clone(), adapter.clone());
         let hosts = self.hosts(model).filter(|state| {
@@ -98,7 +98,7 @@
     }
 
     /// Records when the first engine with the model can load the adapter.
-    fn note_host_ready(&mut self, loadable: Loadable) {
+    fn record_host_ready(&mut self, loadable: Loadable) {
         let free_in_ms = self.hosts(&loadable.model).map(|state| {
             let change = state.change.or_else(|| self.planned_at(&state.endpoint.name));
             match change {
@@ -116,9 +116,9 @@
     fn hosts<'b>(&'b self, model: &'b ModelName) -> impl Iterator<Item = &'b EngineState<'a>> {
         self.engines.values().filter(move |state| {
             let planned = self.planned_at(&state.endpoint.name);
-            let goes = planned.is_some_and(|change| change.evicted.contains(model));
-            let comes = state.change.or(planned).is_some_and(|change| change.model == *model);
-            (state.held.contains_key(model) && !state.goes(model) && !goes) || comes
+            let evicts = planned.is_some_and(|change| change.evicted.contains(model));
+            let loads = state.change.or(planned).is_some_and(|change| change.model == *model);
+            (state.held.contains_key(model) && !state.evicts(model) && !evicts) || loads
         })
     }
 
@@ -130,14 +130,15 @@
     fn idle_adapter(
         &self,
         state: &EngineState<'_>,
-        wanted: &(ModelName, AdapterName),
+        requested: &(ModelName, AdapterName),
     ) -> Option<(ModelName, AdapterName)> {
         let loaded = state.held.iter().flat_map(|(model, adapters)| {
             adapters.iter().map(move |adapter| (model.clone(), adapter.clone()))
         });
         let idle = loaded.filter(|key| {
-            let is_wanted = key == wanted || self.wanted_adapters.contains(&(&key.0, &key.1));
-            !is_wanted && !self.demand.uses_adapter(&state.endpoint.name, key, self.now_ms)
+            let is_in_demand =
+                key == requested || self.adapters_in_demand.contains(&(&key.0, &key.1));
+            !is_in_demand && !self.demand.uses_adapter(&state.endpoint.name, key, self.now_ms)
         });
         idle.min_by_key(|key| (self.demand.adapter_used_ms(key), key.clone()))
     }
--- a/crates/trestle-dispatch/src/placing/eviction.rs
+++ b/crates/trestle-dispatch/src/placing/eviction.rs
@@ -6,55 +6,55 @@
 use trestle_core::names::{EndpointName, ModelName};
 
 /// Time for which a loaded model is kept for the requests that it was loaded for.
-const SETTLE_MS: u64 = 1_500;
+const MIN_RESIDENCE_MS: u64 = 1_500;
 
 /// Models to evict together.
 pub(super) struct Eviction {
     pub(super) models: Vec<ModelName>,
     /// Value lost by their eviction, as delay of callers.
-    pub(super) miss_ms: f64,
+    pub(super) lost_ms: f64,
     /// Time until the last of their running requests has ended.
     pub(super) run_wait_ms: f64,
 }
 
 /// The models that one engine could evict, in the order of their cost.
 #[derive(Debug)]
-pub(super) struct Leavers {
+pub(super) struct EvictionCandidates {
     free_mb: u64,
-    models: Vec<Leaver>,
+    models: Vec<EvictionCandidate>,
 }
 
 #[derive(Debug)]
-struct Leaver {
+struct EvictionCandidate {
     model: ModelName,
     mb: u64,
-    miss_ms: f64,
+    lost_ms: f64,
     run_wait_ms: f64,
 }
 
-impl Leaver {
+impl EvictionCandidate {
     /// Returns the cost of the eviction, per MB of freed memory if `is_by_size`: two small models
     /// have more value than one large one. In simulated days of a small fleet (24 seeds) this
     /// gained 0.011 of a day's value.
     fn cost(&self, is_by_size: bool) -> f64 {
-        let cost_ms = self.miss_ms + self.run_wait_ms;
+        let cost_ms = self.lost_ms + self.run_wait_ms;
         if is_by_size { cost_ms / self.mb.max(1) as f64 } else { cost_ms }
     }
 }
 
-impl Leavers {
+impl EvictionCandidates {
     /// Returns the cheapest eviction that frees enough memory; `None` if there is none.
     pub(super) fn make_room(&self, needed_mb: u64) -> Option<Eviction> {
         let mut free_mb = self.free_mb;
-        let mut eviction = Eviction { models: Vec::new(), miss_ms: 0.0, run_wait_ms: 0.0 };
-        for leaver in &self.models {
+        let mut eviction = Eviction { models: Vec::new(), lost_ms: 0.0, run_wait_ms: 0.0 };
+        for candidate in &self.models {
             if free_mb >= needed_mb {
                 break;
             }
-            free_mb += leaver.mb;
-            eviction.models.push(leaver.model.clone());
-            eviction.miss_ms += leaver.miss_ms;
-            eviction.run_wait_ms = eviction.run_wait_ms.max(leaver.run_wait_ms);
+            free_mb += candidate.mb;
+            eviction.models.push(candidate.model.clone());
+            eviction.lost_ms += candidate.lost_ms;
+            eviction.run_wait_ms = eviction.run_wait_ms.max(candidate.run_wait_ms);
         }
         (free_mb >= needed_mb).then_some(eviction)
     }
@@ -62,34 +62,34 @@
 
 impl<'a> Planner<'a> {
     /// Returns what each engine could evict.
-    pub(super) fn leavers(&self) -> BTreeMap<&'a EndpointName, Leavers> {
-        self.engines.iter().map(|(name, state)| (*name, self.leavers_at(state))).collect()
+    pub(super) fn candidates(&self) -> BTreeMap<&'a EndpointName, EvictionCandidates> {
+        self.engines.iter().map(|(name, state)| (*name, self.candidates_at(state))).collect()
     }
 
-    pub(super) fn leavers_at(&self, state: &EngineState<'_>) -> Leavers {
-        let leaver = |model: &ModelName| {
-            let (miss_ms, run_wait_ms) = self.loss(model, state)?;
-            Some(Leaver {
+    pub(super) fn candidates_at(&self, state: &EngineState<'_>) -> EvictionCandidates {
+        let candidate = |model: &ModelName| {
+            let (lost_ms, run_wait_ms) = self.loss(model, state)?;
+            Some(EvictionCandidate {
                 model: model.clone(),
                 mb: self.model_mb(model, state),
-                miss_ms,
+                lost_ms,
                 run_wait_ms,
             })
         };
-        let mut models: Vec<Leaver> = state.held.keys().filter_map(leaver).collect();
+        let mut models: Vec<EvictionCandidate> = state.held.keys().filter_map(candidate).collect();
         let is_by_size = self.policy.has(Mechanism::EvictionBySize);
         models.sort_by(|one, other| one.cost(is_by_size).total_cmp(&other.cost(is_by_size)));
         let free_mb = self.spec.memory_mb.saturating_sub(self.spec.held_mb(state.held));
-        Leavers { free_mb, models }
+        EvictionCandidates { free_mb, models }
     }
 
     /// Returns the value lost by evicting a model from an engine, and the time until its running
     /// requests there have ended; `None` if the model must stay.
     fn loss(&self, model: &ModelName, state: &EngineState<'_>) -> Option<(f64, f64)> {
         let is_new =
-            state.arrived_ms.get(model).is_some_and(|at_ms| self.now_ms < at_ms + SETTLE_MS);
+            state.arrived_ms.get(model).is_some_and(|at_ms| self.now_ms < at_ms + MIN_RESIDENCE_MS);
         let is_last = self.present(model) <= 1;
-        if is_last && (is_new || self.waited_for.contains(model)) {
+        if is_last && (is_new || self.models_in_demand.contains(model)) {
             return None;
         }
         let running = self.usage.of_model_at(&state.endpoint.name, model);
--- a/crates/trestle-dispatch/src/placing/value.rs
+++ b/crates/trestle-dispatch/src/placing/value.rs
@@ -13,11 +13,11 @@
 
 /// The planning horizon: demand shifts within some ten seconds, and an evicted model is requested
 /// again within about three.
-const AHEAD_S: f64 = 4.0;
+const HORIZON_S: f64 = 4.0;
 /// Value of a request that finds no replica, as delay; a swap from disk takes about as long.
 const MISSED_MS: f64 = 1_000.0;
 /// Share of slots in use up to which an engine is hardly slower than with one request.
-const CALM_FILL: f64 = 0.125;
+const UNLOADED_FILL: f64 = 0.125;
 /// Share of slots in use at which half of the requests are late: reading prompts then takes most of
 /// the engine's time.
 const HALF_LATE_FILL: f64 = 0.5;
@@ -27,13 +27,13 @@
 pub(super) const SWAP_MS: f64 = 300.0;
 /// Extra value of a last replica whose model was requested just now; among equals, the model
 /// requested longest ago is evicted first.
-const RECENT_MS: f64 = 50.0;
+const RECENCY_MS: f64 = 50.0;
 
 impl Planner<'_> {
     /// Returns the gain of the first replica of a model in demand.
-    pub(super) fn gain_of_first_ms(&self, want: &AggregateDemand<'_>) -> f64 {
-        f64::from(want.count) * MISSED_MS + self.shortfall_ms(want.model, 0)
-            - self.shortfall_ms(want.model, 1)
+    pub(super) fn gain_of_first_ms(&self, demand: &AggregateDemand<'_>) -> f64 {
+        f64::from(demand.count) * MISSED_MS + self.shortfall_ms(demand.model, 0)
+            - self.shortfall_ms(demand.model, 1)
     }
 
     /// Returns the gain of one more replica of a model.
@@ -45,8 +45,8 @@
     /// Returns whether the request rate of a model is high enough for one more replica to gain
     /// anything. This is quick to compute, and few models have a high rate.
     pub(super) fn may_gain(&self, model: &ModelName) -> bool {
-        let asked_per_s = self.demand.rates().per_s(model, self.now_ms);
-        asked_per_s * AHEAD_S * MISSED_MS * LATE_PART > SWAP_MS
+        let arrivals_per_s = self.demand.rates().per_s(model, self.now_ms);
+        arrivals_per_s * HORIZON_S * MISSED_MS * LATE_PART > SWAP_MS
     }
 
     /// Returns the value lost by evicting one replica of a model.
@@ -57,37 +57,37 @@
 
     /// Returns the delay of callers of a model that has so many replicas.
     fn shortfall_ms(&self, model: &ModelName, replicas: u32) -> f64 {
-        let asked_ms = self.demand.rates().per_s(model, self.now_ms) * AHEAD_S * MISSED_MS;
+        let missed_ms = self.demand.rates().per_s(model, self.now_ms) * HORIZON_S * MISSED_MS;
         if replicas == 0 {
-            return asked_ms + self.recency_ms(model);
+            return missed_ms + self.recency_ms(model);
         }
         let slots = replicas.saturating_mul(self.spec.slots).max(1);
-        asked_ms * LATE_PART * late_share(self.running(model) / f64::from(slots))
+        missed_ms * LATE_PART * late_share(self.running(model) / f64::from(slots))
     }
 
     /// Returns the number of requests for a model that would run at once if all were served: the
     /// observed number, or the one that follows from the request rate, for a model that has just
     /// become busy.
     pub(super) fn running(&self, model: &ModelName) -> f64 {
-        let seen = self.usage.of_model(model).max(self.demand.peak(model, self.now_ms));
+        let observed = self.usage.of_model(model).max(self.demand.peak(model, self.now_ms));
         let rates = self.demand.rates();
-        let asked_per_s = match self.policy.has(Mechanism::Surges) {
+        let arrivals_per_s = match self.policy.has(Mechanism::Surges) {
             true => rates.surge_per_s(model, self.now_ms),
             false => rates.per_s(model, self.now_ms),
         };
-        f64::from(seen).max(asked_per_s * self.demand.run_s())
+        f64::from(observed).max(arrivals_per_s * self.demand.run_s())
     }
 
     fn recency_ms(&self, model: &ModelName) -> f64 {
         let last_ms = self.demand.rates().last_arrival_ms(model);
         let age_ms = last_ms.map_or(u64::MAX, |at_ms| self.now_ms.saturating_sub(at_ms));
-        RECENT_MS / (1.0 + age_ms as f64 / 1e3)
+        RECENCY_MS / (1.0 + age_ms as f64 / 1e3)
     }
 }
 
 /// Returns the share of requests that are late at engines with this share of slots in use. It never
 /// reaches 1, so that one more replica always has some value.
 pub(super) fn late_share(fill: f64) -> f64 {
-    let excess = ((fill - CALM_FILL) / (HALF_LATE_FILL - CALM_FILL)).max(0.0);
+    let excess = ((fill - UNLOADED_FILL) / (HALF_LATE_FILL - UNLOADED_FILL)).max(0.0);
     excess / (1.0 + excess)
 }
--- a/crates/trestle-dispatch/src/rates.rs
+++ b/crates/trestle-dispatch/src/rates.rs
@@ -10,15 +10,15 @@
 /// Time in which the weight of an arrival decays to 1/e. It is long enough to distinguish a rarely
 /// used model that was requested twice from one that was requested once, and short enough that a
 /// model out of demand can be evicted within some ten seconds.
-const MEMORY_MS: f64 = 8_000.0;
+const DECAY_MS: f64 = 8_000.0;
 /// The same time for a sudden rise: a model that becomes the busiest within seconds needs replicas
 /// before its one engine is full, and a load from the weight store takes 6 s.
-const SURGE_MEMORY_MS: f64 = 2_000.0;
+const SURGE_DECAY_MS: f64 = 2_000.0;
 /// Weight below which a model is dropped; after a single arrival this takes 32 s.
-const FORGOTTEN: f64 = 0.018;
+const MIN_WEIGHT: f64 = 0.018;
 /// Number of models that a daemon reports to a new leader, those with the highest rates: half of a
 /// busy daemon's models, in some 2 KB.
-const MOST_TOLD: usize = 64;
+const MAX_REPORTED: usize = 64;
 
 /// Request rates of models.
 #[derive(Debug, Default)]
@@ -54,8 +54,8 @@
     }
 
     /// Adds the past arrivals that another daemon reports.
-    pub fn add_history(&mut self, past: &[PastArrivals], now_ms: u64) {
-        for arrivals in past {
+    pub fn add_history(&mut self, history: &[PastArrivals], now_ms: u64) {
+        for arrivals in history {
             let last_ms = now_ms.saturating_sub(arrivals.age_ms);
             self.add(&arrivals.model, f64::from(arrivals.weight_milli) / 1e3, last_ms, now_ms);
         }
@@ -68,10 +68,10 @@
             weight_milli: (rate.decayed(now_ms) * 1e3) as u32,
             age_ms: now_ms.saturating_sub(rate.last_arrival_ms),
         });
-        let mut past: Vec<PastArrivals> = each.collect();
-        past.sort_by_key(|arrivals| std::cmp::Reverse(arrivals.weight_milli));
-        past.truncate(MOST_TOLD);
-        past
+        let mut history: Vec<PastArrivals> = each.collect();
+        history.sort_by_key(|arrivals| std::cmp::Reverse(arrivals.weight_milli));
+        history.truncate(MAX_REPORTED);
+        history
     }
 
     /// Returns the arrivals per second.
@@ -96,7 +96,7 @@
 
     /// Drops models whose last arrivals are long ago.
     pub fn forget(&mut self, now_ms: u64) {
-        self.models.retain(|_, rate| rate.decayed(now_ms) > FORGOTTEN);
+        self.models.retain(|_, rate| rate.decayed(now_ms) > MIN_WEIGHT);
     }
 
     fn add(&mut self, model: &ModelName, weight: f64, last_ms: u64, now_ms: u64) {
@@ -111,19 +111,19 @@
 impl Rate {
     fn decayed(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.weight * (-age_ms / MEMORY_MS).exp()
+        self.weight * (-age_ms / DECAY_MS).exp()
     }
 
     fn per_s(&self, now_ms: u64) -> f64 {
-        self.decayed(now_ms) * 1e3 / MEMORY_MS
+        self.decayed(now_ms) * 1e3 / DECAY_MS
     }
 
     fn surge_decayed(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.surge * (-age_ms / SURGE_MEMORY_MS).exp()
+        self.surge * (-age_ms / SURGE_DECAY_MS).exp()
     }
 
     fn surge_per_s(&self, now_ms: u64) -> f64 {
-        self.surge_decayed(now_ms) * 1e3 / SURGE_MEMORY_MS
+        self.surge_decayed(now_ms) * 1e3 / SURGE_DECAY_MS
     }
 }
--- a/crates/trestle-dispatch/src/retry_share.rs
+++ b/crates/trestle-dispatch/src/retry_share.rs
@@ -64,7 +64,7 @@
 
     /// Returns whether the share allows one further send.
     pub fn has_room(&mut self, now_ms: u64, bounds: &RetryBounds, daemons: usize) -> bool {
-        self.forget(now_ms, bounds.window_ms);
+        self.drop_old(now_ms, bounds.window_ms);
         let first = (now_ms / SLICE_MS + 1 + SPARE_SLICES)
             .saturating_sub(bounds.window_ms.div_ceil(SLICE_MS));
         let counted = self.slices.iter().filter(|slice| slice.number >= first);
@@ -87,7 +87,7 @@
     }
 
     /// Drops slices that are older than any window that ends now.
-    fn forget(&mut self, now_ms: u64, window_ms: u64) {
+    fn drop_old(&mut self, now_ms: u64, window_ms: u64) {
         let oldest = (now_ms / SLICE_MS).saturating_sub(window_ms.div_ceil(SLICE_MS));
         while self.slices.front().is_some_and(|slice| slice.number < oldest) {
             self.slices.pop_front();
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -82,36 +82,36 @@
 /// the same endpoint.
 pub fn select(
     local_view: &mut LocalView,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     sends: &Sends,
-    lot: u64,
+    random: u64,
     now_ms: u64,
 ) -> Selection {
     // Any attempt of this request crashes an endpoint, with everything else that runs there.
-    if let Some(retry_after_ms) = local_view.refused_for_ms(asking.head.fingerprint, now_ms) {
+    if let Some(retry_after_ms) = local_view.refused_for_ms(request.head.fingerprint, now_ms) {
         return Selection::Refuse { retry_after_ms, reason: Some(Reason::EndsEndpoints) };
     }
-    if let Some(endpoint) = choose_allowed(local_view, asking, sends, lot, now_ms) {
-        let must_ask =
-            !asking.is_trial && local_view.must_run_serially(asking.head.fingerprint, now_ms);
+    if let Some(endpoint) = choose_allowed(local_view, request, sends, random, now_ms) {
+        let needs_trial =
+            !request.is_trial && local_view.must_run_serially(request.head.fingerprint, now_ms);
         let incarnation = endpoint.incarnation();
-        let needs_place = local_view.backpressure.limit(&incarnation).is_some()
-            && asking.send_permit != Some(&incarnation);
-        return match (must_ask, asking.has_quota) {
+        let needs_permit = local_view.backpressure.limit(&incarnation).is_some()
+            && request.send_permit != Some(&incarnation);
+        return match (needs_trial, request.has_quota) {
             (true, _) => Selection::RequestTrial,
             (false, false) => Selection::ChargeQuota,
-            (false, true) if needs_place => Selection::RequestSendPermit(endpoint),
+            (false, true) if needs_permit => Selection::RequestSendPermit(endpoint),
             (false, true) => Selection::Send(endpoint),
         };
     }
-    let everywhere = sends.allowed_at_all(asking.route);
-    if let Some(held_back) = look(local_view, asking, &everywhere, now_ms, choice::throttled) {
-        return Selection::Throttled(held_back);
+    let everywhere = sends.allowed_at_all(request.route);
+    if let Some(throttled) = query(local_view, request, &everywhere, now_ms, choice::throttled) {
+        return Selection::Throttled(throttled);
     }
-    if asking.head.model.is_none() {
+    if request.head.model.is_none() {
         return Selection::Refuse { retry_after_ms: PLAIN_RETRY_MS, reason: None };
     }
-    match wait_or_refuse(local_view, asking, now_ms) {
+    match wait_or_refuse(local_view, request, now_ms) {
         Admission::Wait { until_ms } => Selection::Wait { until_ms },
         Admission::Refuse { retry_after_ms, reason } => {
             Selection::Refuse { retry_after_ms, reason: Some(reason) }
@@ -124,24 +124,24 @@
 /// engine's queue were aborted and then sent nowhere.
 pub fn has_alternative(
     local_view: &mut LocalView,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     sends: &Sends,
     now_ms: u64,
 ) -> bool {
-    if !local_view.has_retry(asking.service, now_ms) {
+    if !local_view.has_retry(request.service, now_ms) {
         return false;
     }
-    let allowed = sends.allowed_elsewhere(asking.route, now_ms);
-    look(local_view, asking, &allowed, now_ms, choice::has_healthy)
+    let allowed = sends.allowed_elsewhere(request.route, now_ms);
+    query(local_view, request, &allowed, now_ms, choice::has_healthy)
 }
 
 /// Returns what a request waits for, or `None` if it names no model. `due_ms` is a time on the
 /// daemon's clock.
-pub fn pending_demand(asking: RequestContext<'_>, due_ms: u64) -> Option<PendingDemand> {
-    let model = asking.head.model.clone()?;
-    let adapter = asking.head.adapter.clone();
+pub fn pending_demand(request: RequestContext<'_>, due_ms: u64) -> Option<PendingDemand> {
+    let model = request.head.model.clone()?;
+    let adapter = request.head.adapter.clone();
     Some(PendingDemand {
-        priority: asking.route.priority,
+        priority: request.route.priority,
         due_ms,
         model,
         adapter,
@@ -154,101 +154,102 @@
 /// none or the request names no model.
 pub fn returning_demand(
     policy: &Policy,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     retry_after_ms: u64,
     now_ms: u64,
 ) -> Option<PendingDemand> {
     let is_kept = policy.has(Mechanism::KeepForReturning);
-    pending_demand(asking, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
+    pending_demand(request, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
 }
 
 fn choose_allowed(
     local_view: &mut LocalView,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     sends: &Sends,
-    lot: u64,
+    random: u64,
     now_ms: u64,
 ) -> Option<Endpoint> {
     let mut choose = |allowed: &Allowed| {
-        let chosen = |known: ChoiceInputs<'_>, need: Requirements<'_>| {
-            let place = asking
-                .send_permit
-                .filter(|incarnation| choice::accepts_with_permit(known, need, incarnation));
-            match place {
-                Some(incarnation) => known.local_view.directory.get(&incarnation.name).cloned(),
-                None => choice::choose(known, need, lot).cloned(),
+        let chosen = |inputs: ChoiceInputs<'_>, requirements: Requirements<'_>| {
+            let permit = request.send_permit.filter(|incarnation| {
+                choice::accepts_with_permit(inputs, requirements, incarnation)
+            });
+            match permit {
+                Some(incarnation) => inputs.local_view.directory.get(&incarnation.name).cloned(),
+                None => choice::choose(inputs, requirements, random).cloned(),
             }
         };
-        look(local_view, asking, allowed, now_ms, chosen)
+        query(local_view, request, allowed, now_ms, chosen)
     };
-    let chosen = choose(&sends.allowed(asking.route, now_ms));
-    chosen.or_else(|| choose(&sends.allowed_again(asking.route)?))
+    let chosen = choose(&sends.allowed(request.route, now_ms));
+    chosen.or_else(|| choose(&sends.allowed_again(request.route)?))
 }
 
-/// Calls `look` with the daemon's present knowledge and the requirements of the request.
-fn look<R>(
+/// Calls `query` with the daemon's present knowledge and the requirements of the request.
+fn query<R>(
     local_view: &mut LocalView,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     allowed: &Allowed,
     now_ms: u64,
-    look: impl FnOnce(ChoiceInputs<'_>, Requirements<'_>) -> R,
+    query: impl FnOnce(ChoiceInputs<'_>, Requirements<'_>) -> R,
 ) -> R {
-    let need = Requirements {
-        service: asking.service,
-        model: asking.head.model.as_ref(),
-        adapter: asking.head.adapter.as_ref(),
+    let requirements = Requirements {
+        service: request.service,
+        model: request.head.model.as_ref(),
+        adapter: request.head.adapter.as_ref(),
         excluded: &allowed.excluded,
         only: allowed.only.as_ref(),
     };
     local_view.directory.drop_lapsed(now_ms);
-    let nothing = ReplicaView::default();
-    let replicas = local_view.replicas.get(asking.service).unwrap_or(&nothing);
-    look(ChoiceInputs { local_view, replicas, now_ms }, need)
+    let no_replicas = ReplicaView::default();
+    let replicas = local_view.replicas.get(request.service).unwrap_or(&no_replicas);
+    query(ChoiceInputs { local_view, replicas, now_ms }, requirements)
 }
 
 /// Decides whether a request that no endpoint can run now waits or is refused.
 fn wait_or_refuse(
     local_view: &mut LocalView,
-    asking: RequestContext<'_>,
+    request: RequestContext<'_>,
     now_ms: u64,
 ) -> Admission {
-    let RequestContext { route, elapsed_ms, allowed_ms, .. } = asking;
+    let RequestContext { route, elapsed_ms, allowed_ms, .. } = request;
     let wait = match local_view.policy.has(Mechanism::WaitWhileCallerStays) {
         true => Wait::new(route, elapsed_ms, allowed_ms),
         false => Wait::within_objective(route, elapsed_ms, allowed_ms),
     };
-    admission::decide(wait, outlook(local_view, asking, now_ms))
+    admission::decide(wait, forecast(local_view, request, now_ms))
 }
 
 /// Returns when the model of a request is expected to be ready.
-fn outlook(local_view: &mut LocalView, asking: RequestContext<'_>, now_ms: u64) -> Forecast {
-    let Some(model) = &asking.head.model else { return Forecast::Unknown };
+fn forecast(local_view: &mut LocalView, request: RequestContext<'_>, now_ms: u64) -> Forecast {
+    let Some(model) = &request.head.model else { return Forecast::Unknown };
     if !local_view.has_leader {
         let everywhere = Allowed { excluded: BTreeSet::new(), only: None };
-        if look(local_view, asking, &everywhere, now_ms, choice::is_loaded) {
-            return Forecast::Here { for_ms: ready_for_ms(local_view, asking, now_ms) };
+        if query(local_view, request, &everywhere, now_ms, choice::is_loaded) {
+            return Forecast::Here { for_ms: ready_for_ms(local_view, request, now_ms) };
         }
         let is_awaited = local_view.policy.has(Mechanism::AwaitLeader);
         let in_ms = local_view.leader_recovery_ms(now_ms).filter(|_| is_awaited);
         return in_ms.map_or(Forecast::Unknown, |in_ms| Forecast::Ready { in_ms });
     }
-    let loadable = Loadable::new(model, asking.head.adapter.as_ref());
-    let ready_in_ms = local_view.ready_in_ms(asking.service, &loadable, now_ms);
+    let loadable = Loadable::new(model, request.head.adapter.as_ref());
+    let ready_in_ms = local_view.ready_in_ms(request.service, &loadable, now_ms);
     match ready_in_ms {
-        Some(0) => return Forecast::Here { for_ms: ready_for_ms(local_view, asking, now_ms) },
+        Some(0) => return Forecast::Here { for_ms: ready_for_ms(local_view, request, now_ms) },
         Some(in_ms) => return Forecast::Ready { in_ms },
         None => {}
     }
-    let asked = local_view.local_demand.get(asking.service);
-    let is_answered =
-        asked.zip(asking.demand_id).is_some_and(|(asked, wish)| asked.is_planned(wish));
-    if is_answered { Forecast::Unknown } else { Forecast::NotReported }
+    let local_demand = local_view.local_demand.get(request.service);
+    let is_planned = local_demand
+        .zip(request.demand_id)
+        .is_some_and(|(local_demand, demand)| local_demand.is_planned(demand));
+    if is_planned { Forecast::Unknown } else { Forecast::NotReported }
 }
 
 /// Returns for how long the leader has reported the model as ready while this request waits for it.
-fn ready_for_ms(local_view: &mut LocalView, asking: RequestContext<'_>, now_ms: u64) -> u64 {
-    let waiting = &mut local_view.local_demand_for(asking.service).waiting;
-    let wish = asking.demand_id.and_then(|number| waiting.get_mut(&number));
-    let ready_ms = wish.map(|wish| *wish.ready_ms.get_or_insert(now_ms));
+fn ready_for_ms(local_view: &mut LocalView, request: RequestContext<'_>, now_ms: u64) -> u64 {
+    let waiting = &mut local_view.local_demand_for(request.service).waiting;
+    let demand = request.demand_id.and_then(|number| waiting.get_mut(&number));
+    let ready_ms = demand.map(|demand| *demand.ready_ms.get_or_insert(now_ms));
     ready_ms.map_or(0, |ready_ms| now_ms.saturating_sub(ready_ms))
 }
--- a/crates/trestle-dispatch/src/sends.rs
+++ b/crates/trestle-dispatch/src/sends.rs
@@ -45,11 +45,11 @@
     sent_to: BTreeSet<EndpointName>,
     /// Endpoints that get no further send before a time; with `u64::MAX`, only if there is no
     /// other.
-    set_aside: BTreeMap<EndpointName, u64>,
+    paused_until_ms: BTreeMap<EndpointName, u64>,
     /// Whether the last send was the first to its endpoint.
     is_last_new: bool,
     /// Whether a further send was reserved in the budget but not made.
-    has_unspent: bool,
+    has_reserved_send: bool,
     /// Endpoints that took too long; another send would only add to their load.
     too_slow: BTreeSet<EndpointName>,
 }
@@ -75,24 +75,24 @@
     pub fn record_end(&mut self, end: SendEnd, now_ms: u64) {
         self.may_have_run |= end.may_have_run();
         if end == SendEnd::NotSent {
-            return self.take_back();
+            return self.revert_last();
         }
         let Some(last) = &self.last else { return };
         let until_ms = if end == SendEnd::NotRun { now_ms + REFUSED_PAUSE_MS } else { u64::MAX };
-        self.set_aside.insert(last.clone(), until_ms);
+        self.paused_until_ms.insert(last.clone(), until_ms);
         if end == SendEnd::TimedOut {
             self.too_slow.insert(last.clone());
         }
     }
 
     /// Reverts a send that was not made; its place in the budget is left for the next one.
-    fn take_back(&mut self) {
+    fn revert_last(&mut self) {
         let Some(last) = &self.last else { return };
         if self.is_last_new {
             self.sent_to.remove(last);
         }
         self.count = self.count.saturating_sub(1);
-        self.has_unspent = self.count > 0;
+        self.has_reserved_send = self.count > 0;
     }
 
     /// Returns where a send may go now or later.
@@ -102,8 +102,8 @@
 
     /// Returns where the next send may go.
     pub fn allowed(&self, route: &Route, now_ms: u64) -> Allowed {
-        let aside = self.set_aside.iter().filter(|(_, until_ms)| now_ms < **until_ms);
-        Allowed { excluded: aside.map(|(name, _)| name.clone()).collect(), only: self.only(route) }
+        let paused = self.paused_until_ms.iter().filter(|(_, until_ms)| now_ms < **until_ms);
+        Allowed { excluded: paused.map(|(name, _)| name.clone()).collect(), only: self.only(route) }
     }
 
     /// Returns where the request may be repeated if all other endpoints are excluded; `None` if it
@@ -136,9 +136,10 @@
         local_view: &mut LocalView,
         now_ms: u64,
     ) -> bool {
-        let is_spent = self.may_have_run && !self.has_attempt_left(route);
-        let is_taken = std::mem::take(&mut self.has_unspent);
-        self.count == 0 || (!is_spent && (is_taken || local_view.spend_retry(service, now_ms)))
+        let is_exhausted = self.may_have_run && !self.has_attempt_left(route);
+        let is_reserved = std::mem::take(&mut self.has_reserved_send);
+        self.count == 0
+            || (!is_exhausted && (is_reserved || local_view.spend_retry(service, now_ms)))
     }
 
     fn only(&self, route: &Route) -> Option<BTreeSet<EndpointName>> {
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -37,15 +37,15 @@
     pub demand: Demand,
     /// What other leaders are responsible for.
     pub sharing: Sharing,
-    engines: BTreeMap<EndpointName, KnownEngine>,
+    engines: BTreeMap<EndpointName, EngineRecord>,
     /// Engines that have reported a limit. What they hold counts as absent, since they reject
     /// callers.
     limited: BTreeSet<EndpointName>,
     ready_in_ms: BTreeMap<Loadable, u64>,
     planned_ms: u64,
-    learnt: ObservedTimes,
+    observed_times: ObservedTimes,
     /// Number of changes so far of which daemons should learn at once.
-    news: u64,
+    revision: u64,
 }
 
 /// A change that begins, with its engine and its orders.
@@ -53,8 +53,8 @@
 
 /// One incarnation of an engine.
 #[derive(Debug, Default)]
-struct KnownEngine {
-    born_ms: u64,
+struct EngineRecord {
+    started_unix_ms: u64,
     held: Held,
     /// Number of orders that the engine has accepted; `None` if that is not certain.
     order_count: Option<u64>,
@@ -90,32 +90,32 @@
         now_ms: u64,
     ) -> Vec<StartedChange> {
         self.demand.drop_lapsed(now_ms);
-        self.follow(directory, now_ms);
+        self.apply_entries(directory, now_ms);
         self.assign_groups(spec, directory, now_ms);
         let unlimited = self.engines.iter().filter(|(name, _)| !self.limited.contains(*name));
-        let own = unlimited.flat_map(|(_, known)| known.held.keys());
+        let own = unlimited.flat_map(|(_, record)| record.held.keys());
         let elsewhere = self.sharing.engines().flat_map(|foreign| foreign.holds.keys());
         let held = own.chain(elsewhere).cloned().collect();
-        let is_planned = |wish: &Loadable| self.sharing.is_planned(wish, now_ms);
+        let is_planned = |loadable: &Loadable| self.sharing.is_planned(loadable, now_ms);
         self.demand.record_plan(&held, is_planned, now_ms);
         let engines = &self.engines;
         let states = directory.values().filter_map(|endpoint| {
-            let known = engines.get(&endpoint.name)?;
-            let can_change = now_ms >= known.paused_until_ms
-                && now_ms >= known.silent_until_ms
+            let record = engines.get(&endpoint.name)?;
+            let can_change = now_ms >= record.paused_until_ms
+                && now_ms >= record.silent_until_ms
                 && !self.limited.contains(&endpoint.name);
             can_change.then_some(EngineState {
                 endpoint,
-                held: &known.held,
-                arrived_ms: &known.arrived_ms,
-                change: known.change.as_ref(),
+                held: &record.held,
+                arrived_ms: &record.arrived_ms,
+                change: record.change.as_ref(),
                 may_change: may_order_at(&endpoint.name),
             })
         });
         let inputs = PlanInputs {
             spec,
             demand: &self.demand,
-            observed_times: &self.learnt,
+            observed_times: &self.observed_times,
             policy,
             sharing: &self.sharing,
             now_ms,
@@ -124,15 +124,15 @@
         self.ready_in_ms = plan.ready_in_ms;
         self.planned_ms = now_ms;
         if orders_in_ms > 0 {
-            let late = self.ready_in_ms.values_mut().filter(|ready_in_ms| **ready_in_ms > 0);
-            late.for_each(|ready_in_ms| *ready_in_ms += orders_in_ms);
+            let delayed = self.ready_in_ms.values_mut().filter(|ready_in_ms| **ready_in_ms > 0);
+            delayed.for_each(|ready_in_ms| *ready_in_ms += orders_in_ms);
             return Vec::new();
         }
         if !plan.changes.is_empty() {
-            self.news += 1;
+            self.revision += 1;
         }
         let changes = plan.changes.into_iter();
-        changes.filter_map(|change| self.begin(spec, change, directory)).collect()
+        changes.filter_map(|change| self.start_change(spec, change, directory)).collect()
     }
 
     /// Assigns pending demand of the daemons that has no current assignment to a group of engines.
@@ -146,21 +146,21 @@
         if self.sharing.is_alone() {
             return;
         }
-        let wishes = self.demand.pending_loadables(now_ms);
-        let (known, new): (Vec<Loadable>, Vec<Loadable>) =
-            wishes.into_iter().partition(|wish| self.sharing.is_settled(wish, now_ms));
-        self.sharing.renew(&known, now_ms);
-        if new.is_empty() {
+        let pending = self.demand.pending_loadables(now_ms);
+        let (settled, unsettled): (Vec<Loadable>, Vec<Loadable>) =
+            pending.into_iter().partition(|loadable| self.sharing.is_settled(loadable, now_ms));
+        self.sharing.renew(&settled, now_ms);
+        if unsettled.is_empty() {
             return;
         }
         let usage = self.demand.usage(now_ms);
         let engines = &self.engines;
         let own = directory.values().filter_map(|endpoint| {
-            let known = engines.get(&endpoint.name)?;
-            Some(EngineView { endpoint, holds: &known.held, running: usage.at(&endpoint.name) })
+            let record = engines.get(&endpoint.name)?;
+            Some(EngineView { endpoint, holds: &record.held, running: usage.at(&endpoint.name) })
         });
         let own: Vec<EngineView<'_>> = own.collect();
-        self.sharing.assign(new.into_iter(), spec, &own, now_ms);
+        self.sharing.assign(unsettled.into_iter(), spec, &own, now_ms);
     }
 
     /// Returns the groups of other leaders that are responsible for pending demand and have not yet
@@ -169,48 +169,50 @@
         if self.sharing.is_alone() {
             return BTreeSet::new();
         }
-        let wishes = self.demand.pending_loadables(now_ms);
-        let unplanned = wishes.iter().filter(|wish| !self.sharing.is_planned(wish, now_ms));
-        unplanned.filter_map(|wish| self.sharing.assigned_group(wish).cloned()).collect()
+        let pending = self.demand.pending_loadables(now_ms);
+        let unplanned =
+            pending.iter().filter(|loadable| !self.sharing.is_planned(loadable, now_ms));
+        unplanned.filter_map(|loadable| self.sharing.assigned_group(loadable).cloned()).collect()
     }
 
     /// Records the end of a change; does nothing if the engine has restarted meanwhile.
     pub fn finish_change(&mut self, engine: &Incarnation, chain: &OrderChain, now_ms: u64) {
-        let known = self.engines.get_mut(&engine.name);
-        let Some(known) = known.filter(|known| known.born_ms == engine.started_unix_ms) else {
+        let record = self.engines.get_mut(&engine.name);
+        let Some(record) = record.filter(|record| record.started_unix_ms == engine.started_unix_ms)
+        else {
             return;
         };
-        let Some(change) = known.change.take() else { return };
-        self.news += 1;
+        let Some(change) = record.change.take() else { return };
+        self.revision += 1;
         if let Some(waited_ms) = chain.run_wait_ms() {
-            self.learnt.record_run_wait(waited_ms);
+            self.observed_times.record_run_wait(waited_ms);
         }
         if chain.is_silent() {
-            known.silent_until_ms = now_ms + SILENT_MS;
+            record.silent_until_ms = now_ms + SILENT_MS;
         }
-        known.held.clone_from(chain.held());
-        known.order_count = chain.order_count();
-        known.changed_ms = Some(now_ms);
-        known.arrived_ms.retain(|model, _| chain.held().contains_key(model));
+        record.held.clone_from(chain.held());
+        record.order_count = chain.order_count();
+        record.changed_ms = Some(now_ms);
+        record.arrived_ms.retain(|model, _| chain.held().contains_key(model));
         if chain.is_done() {
-            known.arrived_ms.insert(change.model, now_ms);
-        } else if known.order_count.is_none() {
-            known.paused_until_ms = now_ms + FAILED_PAUSE_MS;
+            record.arrived_ms.insert(change.model, now_ms);
+        } else if record.order_count.is_none() {
+            record.paused_until_ms = now_ms + FAILED_PAUSE_MS;
         }
     }
 
     /// Returns the number of changes so far of which daemons should learn at once.
     pub fn revision(&self) -> u64 {
-        self.news
+        self.revision
     }
 
     /// Returns the report on the service for daemons.
     pub fn view(&self, service: &ServiceName, directory: &Directory, now_ms: u64) -> ReplicaView {
         let usage = self.demand.usage(now_ms);
         let engines = directory.usable(service).filter_map(|endpoint| {
-            let known = self.engines.get(&endpoint.name)?;
-            let note = note(endpoint, known, &usage, now_ms);
-            Some((endpoint.name.clone(), note))
+            let record = self.engines.get(&endpoint.name)?;
+            let summary = summarize(endpoint, record, &usage, now_ms);
+            Some((endpoint.name.clone(), summary))
         });
         ReplicaView {
             engines: engines.collect(),
@@ -222,7 +224,7 @@
 
     /// Returns the models that engines are loading.
     pub fn loading_models(&self) -> impl Iterator<Item = &ModelName> {
-        let changes = self.engines.values().filter_map(|known| known.change.as_ref());
+        let changes = self.engines.values().filter_map(|record| record.change.as_ref());
         changes.filter(|change| change.adapter.is_none()).map(|change| &change.model)
     }
 
@@ -241,50 +243,52 @@
     }
 
     /// Takes over the engines' own entries unless something newer is known.
-    fn follow(&mut self, directory: &BTreeMap<EndpointName, Arc<Endpoint>>, now_ms: u64) {
+    fn apply_entries(&mut self, directory: &BTreeMap<EndpointName, Arc<Endpoint>>, now_ms: u64) {
         self.engines.retain(|name, _| directory.contains_key(name));
         for endpoint in directory.values() {
-            let known = self.engines.entry(endpoint.name.clone()).or_default();
-            if known.born_ms != endpoint.started_unix_ms {
+            let record = self.engines.entry(endpoint.name.clone()).or_default();
+            if record.started_unix_ms != endpoint.started_unix_ms {
                 // A new incarnation holds nothing, has no order in flight and counts its orders
                 // from 0.
-                *known =
-                    KnownEngine { born_ms: endpoint.started_unix_ms, ..KnownEngine::default() };
+                *record = EngineRecord {
+                    started_unix_ms: endpoint.started_unix_ms,
+                    ..EngineRecord::default()
+                };
             }
-            if endpoint.entry_number > known.entry_number {
-                known.entry_number = endpoint.entry_number;
-                known.silent_until_ms = 0;
+            if endpoint.entry_number > record.entry_number {
+                record.entry_number = endpoint.entry_number;
+                record.silent_until_ms = 0;
             }
-            if known.change.is_none() && known.may_follow(endpoint, now_ms) {
-                known.held.clone_from(&endpoint.held);
-                known.order_count = None;
+            if record.change.is_none() && record.should_apply(endpoint, now_ms) {
+                record.held.clone_from(&endpoint.held);
+                record.order_count = None;
             }
         }
     }
 
-    fn begin(
+    fn start_change(
         &mut self,
         spec: &Arc<EngineSpec>,
         change: Change,
         directory: &BTreeMap<EndpointName, Arc<Endpoint>>,
     ) -> Option<StartedChange> {
         let endpoint = directory.get(&change.endpoint)?.clone();
-        let known = self.engines.get_mut(&change.endpoint)?;
+        let record = self.engines.get_mut(&change.endpoint)?;
         let chain = OrderChain::new(
             Arc::clone(spec),
             change.orders(),
-            known.held.clone(),
-            known.order_count,
+            record.held.clone(),
+            record.order_count,
             change.load_ms,
         );
-        known.change = Some(change.clone());
+        record.change = Some(change.clone());
         Some((endpoint, change, chain))
     }
 }
 
-impl KnownEngine {
+impl EngineRecord {
     /// Returns whether the engine's entry is newer than this record.
-    fn may_follow(&self, endpoint: &Endpoint, now_ms: u64) -> bool {
+    fn should_apply(&self, endpoint: &Endpoint, now_ms: u64) -> bool {
         match self.changed_ms {
             None => endpoint.held != self.held,
             Some(changed_ms) => now_ms > changed_ms + ENTRY_AGE_MS && endpoint.held != self.held,
@@ -293,13 +297,18 @@
 }
 
 /// Returns what an engine can run, by the leader's knowledge, and how many requests run there.
-fn note(endpoint: &Endpoint, known: &KnownEngine, usage: &Usage<'_>, now_ms: u64) -> EngineSummary {
+fn summarize(
+    endpoint: &Endpoint,
+    record: &EngineRecord,
+    usage: &Usage<'_>,
+    now_ms: u64,
+) -> EngineSummary {
     let running = usage.at(&endpoint.name);
-    if now_ms < known.silent_until_ms {
+    if now_ms < record.silent_until_ms {
         return EngineSummary { holds: Held::new(), running };
     }
-    let mut holds = known.held.clone();
-    if let Some(change) = &known.change {
+    let mut holds = record.held.clone();
+    if let Some(change) = &record.change {
         for evicted in &change.evicted {
             holds.remove(evicted);
         }
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -25,17 +25,17 @@
 
 /// Time for which pending demand stays assigned to a group: a load from disk takes about a third of
 /// it, and a second group would begin a load of its own.
-const SETTLED_MS: u64 = 2_000;
+const ASSIGNED_MS: u64 = 2_000;
 /// The same time if the model was loaded or loading there, since it may be evicted meanwhile.
-const PRESENT_MS: u64 = 200;
+const PRESENT_ASSIGNED_MS: u64 = 200;
 /// Time after which a leader that has not planned with assigned demand no longer keeps its callers
 /// waiting for an answer.
-const UNANSWERED_MS: u64 = 400;
+const MAX_PLAN_DELAY_MS: u64 = 400;
 /// Time without demand for a model after which the next demand counts as new, so that the leader
 /// responsible for it has yet to learn of it; plans follow each other within 100 ms.
-const NEW_AGAIN_MS: u64 = 300;
+const DEMAND_GAP_MS: u64 = 300;
 /// Time without demand after which its assignment is dropped.
-const FORGOTTEN_MS: u64 = 5_000;
+const RETENTION_MS: u64 = 5_000;
 /// Cost, as load time, of each quarter of an engine's slots in use. Two leaders count different
 /// loads of an engine by the requests in flight between them; the steps hide that.
 const FILL_STEP_MS: u64 = 200;
@@ -76,16 +76,16 @@
     loading: BTreeMap<ModelName, DomainName>,
     /// Pending demand of this leader's daemons with which other leaders have planned.
     planned: BTreeSet<Loadable>,
-    homes: BTreeMap<Loadable, Home>,
+    assignments: BTreeMap<Loadable, Assignment>,
 }
 
 #[derive(Debug, Clone)]
-struct Home {
+struct Assignment {
     group: DomainName,
     /// Since when there has been demand.
     since_ms: u64,
     /// When there was demand last.
-    wanted_ms: u64,
+    last_demand_ms: u64,
     /// Until when the assignment is not computed again.
     until_ms: u64,
 }
@@ -143,94 +143,96 @@
     }
 
     /// Returns whether this leader is responsible for a demand of its own daemons.
-    pub fn is_assigned_here(&self, wish: &Loadable) -> bool {
-        self.assigned_group(wish).is_none_or(|group| self.own_groups.contains(group))
+    pub fn is_assigned_here(&self, demand: &Loadable) -> bool {
+        self.assigned_group(demand).is_none_or(|group| self.own_groups.contains(group))
     }
 
     /// Returns the group whose leader is responsible for a demand; `None` if none is assigned.
-    pub fn assigned_group(&self, wish: &Loadable) -> Option<&DomainName> {
-        self.homes.get(wish).map(|home| &home.group)
+    pub fn assigned_group(&self, demand: &Loadable) -> Option<&DomainName> {
+        self.assignments.get(demand).map(|assignment| &assignment.group)
     }
 
     /// Returns whether the leader responsible for a demand has planned with it or had the time to.
-    pub fn is_planned(&self, wish: &Loadable, now_ms: u64) -> bool {
-        let Some(home) = self.homes.get(wish) else { return true };
-        self.own_groups.contains(&home.group)
-            || self.planned.contains(wish)
-            || now_ms >= home.since_ms + UNANSWERED_MS
+    pub fn is_planned(&self, demand: &Loadable, now_ms: u64) -> bool {
+        let Some(assignment) = self.assignments.get(demand) else { return true };
+        self.own_groups.contains(&assignment.group)
+            || self.planned.contains(demand)
+            || now_ms >= assignment.since_ms + MAX_PLAN_DELAY_MS
     }
 
     /// Assigns each pending demand of this leader's daemons to a group. `own` are the engines that
     /// this leader orders.
     pub fn assign(
         &mut self,
-        wishes: impl Iterator<Item = Loadable>,
+        demands: impl Iterator<Item = Loadable>,
         spec: &EngineSpec,
         own: &[EngineView<'_>],
         now_ms: u64,
     ) {
-        let known = Hosts::new(self.live_hosts(own));
-        let assigned: Vec<(Loadable, Home)> =
-            wishes.filter_map(|wish| self.home(wish, spec, &known, now_ms)).collect();
-        self.homes.extend(assigned);
+        let index = EngineIndex::new(self.live_engines(own));
+        let assigned: Vec<(Loadable, Assignment)> =
+            demands.filter_map(|demand| self.assignment(demand, spec, &index, now_ms)).collect();
+        self.assignments.extend(assigned);
     }
 
     /// Returns whether the assignment of a demand is current and its group has a leader.
-    pub fn is_settled(&self, wish: &Loadable, now_ms: u64) -> bool {
-        let home = self.homes.get(wish);
-        home.is_some_and(|home| now_ms < home.until_ms && self.live_groups.contains(&home.group))
+    pub fn is_settled(&self, demand: &Loadable, now_ms: u64) -> bool {
+        let assignment = self.assignments.get(demand);
+        assignment.is_some_and(|assignment| {
+            now_ms < assignment.until_ms && self.live_groups.contains(&assignment.group)
+        })
     }
 
     /// Records that there still is demand for these.
-    pub fn renew(&mut self, wishes: &[Loadable], now_ms: u64) {
-        for wish in wishes {
-            if let Some(home) = self.homes.get_mut(wish) {
-                if now_ms >= home.wanted_ms + NEW_AGAIN_MS {
-                    home.since_ms = now_ms;
+    pub fn renew(&mut self, demands: &[Loadable], now_ms: u64) {
+        for demand in demands {
+            if let Some(assignment) = self.assignments.get_mut(demand) {
+                if now_ms >= assignment.last_demand_ms + DEMAND_GAP_MS {
+                    assignment.since_ms = now_ms;
                 }
-                home.wanted_ms = now_ms;
+                assignment.last_demand_ms = now_ms;
             }
         }
     }
 
-    fn home(
+    fn assignment(
         &self,
-        wish: Loadable,
+        demand: Loadable,
         spec: &EngineSpec,
-        known: &Hosts<'_>,
+        index: &EngineIndex<'_>,
         now_ms: u64,
-    ) -> Option<(Loadable, Home)> {
-        let before = self.homes.get(&wish);
-        let waited_on = before.filter(|home| now_ms < home.wanted_ms + NEW_AGAIN_MS);
-        let since_ms = waited_on.map_or(now_ms, |home| home.since_ms);
-        let (group, until_ms) = self.work_out(&wish, spec, known, now_ms)?;
-        Some((wish, Home { group, since_ms, wanted_ms: now_ms, until_ms }))
+    ) -> Option<(Loadable, Assignment)> {
+        let before = self.assignments.get(&demand);
+        let recent = before.filter(|assignment| now_ms < assignment.last_demand_ms + DEMAND_GAP_MS);
+        let since_ms = recent.map_or(now_ms, |assignment| assignment.since_ms);
+        let (group, until_ms) = self.compute_group(&demand, spec, index, now_ms)?;
+        Some((demand, Assignment { group, since_ms, last_demand_ms: now_ms, until_ms }))
     }
 
     /// Computes the group responsible for a demand, and until when it stays responsible.
     ///
     /// An adapter is loaded at one replica of its model, whoever needs it: replicas hold few
     /// adapters, and 254 adapters of one model would otherwise each take room in every domain.
-    fn work_out(
+    fn compute_group(
         &self,
-        wish: &Loadable,
+        demand: &Loadable,
         spec: &EngineSpec,
-        known: &Hosts<'_>,
+        index: &EngineIndex<'_>,
         now_ms: u64,
     ) -> Option<(DomainName, u64)> {
-        let model = &wish.model;
-        let holders = known.holders.get(model).into_iter().flatten();
-        if let Some(holder) = holders.min_by_key(|host| rank(wish, host.endpoint)) {
-            return Some((holder.endpoint.domain.clone(), now_ms + PRESENT_MS));
+        let model = &demand.model;
+        let holders = index.holders.get(model).into_iter().flatten();
+        if let Some(holder) = holders.min_by_key(|engine| rank(demand, engine.endpoint)) {
+            return Some((holder.endpoint.domain.clone(), now_ms + PRESENT_ASSIGNED_MS));
         }
         if let Some(group) =
             self.loading.get(model).filter(|group| self.live_groups.contains(*group))
         {
-            return Some((group.clone(), now_ms + PRESENT_MS));
+            return Some((group.clone(), now_ms + PRESENT_ASSIGNED_MS));
         }
         let spec = spec.models.get(model)?;
-        let group = best(model, spec, known.all.iter().copied())?;
-        Some((group.clone(), now_ms + SETTLED_MS))
+        let group = fastest_group(model, spec, index.all.iter().copied())?;
+        Some((group.clone(), now_ms + ASSIGNED_MS))
     }
 
     /// Returns whether the next replica of a model should be loaded at this leader's engines.
@@ -240,41 +242,42 @@
         spec: &ModelSpec,
         own: &[EngineView<'_>],
     ) -> bool {
-        let is_coming_elsewhere = self.loading.contains_key(model);
-        let hosts = self.live_hosts(own).into_iter();
-        let group = best(model, spec, hosts.filter(|host| !host.holds.contains_key(model)));
-        !is_coming_elsewhere && group.is_some_and(|group| self.own_groups.contains(group))
+        let is_loading_elsewhere = self.loading.contains_key(model);
+        let engines = self.live_engines(own).into_iter();
+        let group =
+            fastest_group(model, spec, engines.filter(|engine| !engine.holds.contains_key(model)));
+        !is_loading_elsewhere && group.is_some_and(|group| self.own_groups.contains(group))
     }
 
     /// Drops assignments for which there has been no demand for some time.
     pub fn drop_lapsed(&mut self, now_ms: u64) {
-        self.homes.retain(|_, home| now_ms < home.wanted_ms + FORGOTTEN_MS);
+        self.assignments.retain(|_, assignment| now_ms < assignment.last_demand_ms + RETENTION_MS);
     }
 
     /// Returns all engines of groups with a leader that responds.
-    fn live_hosts<'a>(&'a self, own: &[EngineView<'a>]) -> Vec<EngineView<'a>> {
+    fn live_engines<'a>(&'a self, own: &[EngineView<'a>]) -> Vec<EngineView<'a>> {
         let foreign = self.engines.values().map(|foreign| EngineView {
             endpoint: &foreign.endpoint,
             holds: &foreign.holds,
             running: foreign.running,
         });
-        let hosts = own.iter().copied().chain(foreign);
-        hosts.filter(|host| self.live_groups.contains(&host.endpoint.domain)).collect()
+        let engines = own.iter().copied().chain(foreign);
+        engines.filter(|engine| self.live_groups.contains(&engine.endpoint.domain)).collect()
     }
 }
 
 /// Engines, also indexed by the models that they hold; built once per plan.
-struct Hosts<'a> {
+struct EngineIndex<'a> {
     all: Vec<EngineView<'a>>,
     holders: BTreeMap<&'a ModelName, Vec<EngineView<'a>>>,
 }
 
-impl<'a> Hosts<'a> {
+impl<'a> EngineIndex<'a> {
     fn new(all: Vec<EngineView<'a>>) -> Self {
         let mut holders: BTreeMap<&ModelName, Vec<EngineView<'_>>> = BTreeMap::new();
-        for host in &all {
-            for model in host.holds.keys() {
-                holders.entry(model).or_default().push(*host);
+        for engine in &all {
+            for model in engine.holds.keys() {
+                holders.entry(model).or_default().push(*engine);
             }
         }
         Self { all, holders }
@@ -282,15 +285,15 @@
 }
 
 /// Returns the group of the engine that can load a model soonest.
-fn best<'a>(
+fn fastest_group<'a>(
     model: &ModelName,
     spec: &ModelSpec,
-    hosts: impl Iterator<Item = EngineView<'a>>,
+    engines: impl Iterator<Item = EngineView<'a>>,
 ) -> Option<&'a DomainName> {
-    let ranked = hosts.map(|host| {
-        let endpoint = host.endpoint;
+    let ranked = engines.map(|engine| {
+        let endpoint = engine.endpoint;
         let slots = u64::from(endpoint.slots.max(1));
-        let steps = (u64::from(host.running) * FILL_STEPS / slots).min(FILL_STEPS);
+        let steps = (u64::from(engine.running) * FILL_STEPS / slots).min(FILL_STEPS);
         let cost_ms = spec.load_ms(endpoint, model).0 + steps * FILL_STEP_MS;
         (cost_ms, rank(&Loadable::model(model), endpoint), &endpoint.domain)
     });
@@ -298,9 +301,9 @@
 }
 
 /// Breaks ties between engines; all leaders compute the same rank.
-fn rank(wish: &Loadable, endpoint: &Endpoint) -> u64 {
-    let seed = xxh3_64_with_seed(wish.model.as_str().as_bytes(), 0);
-    let adapter = wish.adapter.as_ref().map_or("", AsRef::as_ref);
+fn rank(demand: &Loadable, endpoint: &Endpoint) -> u64 {
+    let seed = xxh3_64_with_seed(demand.model.as_str().as_bytes(), 0);
+    let adapter = demand.adapter.as_ref().map_or("", AsRef::as_ref);
     let seed = xxh3_64_with_seed(adapter.as_bytes(), seed);
     xxh3_64_with_seed(endpoint.name.as_str().as_bytes(), seed)
 }
--- a/crates/trestle-dispatch/src/sync_intervals.rs
+++ b/crates/trestle-dispatch/src/sync_intervals.rs
@@ -6,16 +6,16 @@
 /// Interval between two syncs while requests wait for a model, for few daemons.
 const WAITING_MS: u64 = 60;
 /// Interval between two syncs while no request waits, for few daemons.
-const CALM_MS: u64 = 300;
+const IDLE_MS: u64 = 300;
 /// Shortest interval between two syncs, for few daemons.
-const LEAST_MS: u64 = 20;
+const MIN_MS: u64 = 20;
 /// Added per daemon to the interval while requests wait.
 const DAEMON_WAITING_MS: u64 = 3;
 /// Added per daemon to the interval while no request waits.
-const DAEMON_CALM_MS: u64 = 5;
+const DAEMON_IDLE_MS: u64 = 5;
 /// Added per two daemons to the shortest interval. A sync that comes so soon is caused by a request
 /// that begins to wait, and one daemon in sixty has one such request a second.
-const TWO_DAEMONS_LEAST_MS: u64 = 1;
+const TWO_DAEMONS_MIN_MS: u64 = 1;
 
 /// Whatever the number of daemons, a daemon syncs within the shortest bound on the age of what it
 /// must know divided by this, so that the leader's relayed data is in time even if one sync fails.
@@ -36,20 +36,20 @@
 
     /// Returns the shortest interval between two syncs, also after one that failed.
     pub fn min_ms(self) -> u64 {
-        LEAST_MS.max(self.daemons / 2 * TWO_DAEMONS_LEAST_MS).min(self.longest_ms())
+        MIN_MS.max(self.daemons / 2 * TWO_DAEMONS_MIN_MS).min(self.max_ms())
     }
 
     /// Returns the time until the next sync while requests wait for a model.
     pub fn waiting_ms(self) -> u64 {
-        WAITING_MS.max(self.daemons * DAEMON_WAITING_MS).min(self.longest_ms())
+        WAITING_MS.max(self.daemons * DAEMON_WAITING_MS).min(self.max_ms())
     }
 
     /// Returns the time until the next sync while no request waits.
     pub fn idle_ms(self) -> u64 {
-        CALM_MS.max(self.daemons * DAEMON_CALM_MS).min(self.longest_ms())
+        IDLE_MS.max(self.daemons * DAEMON_IDLE_MS).min(self.max_ms())
     }
 
-    fn longest_ms(self) -> u64 {
+    fn max_ms(self) -> u64 {
         self.bound_ms / BOUND_PART
     }
 }
--- a/crates/trestle-dispatch/src/trials.rs
+++ b/crates/trestle-dispatch/src/trials.rs
@@ -68,8 +68,8 @@
 
     /// Records that an attempt has ended without a crash of its endpoint.
     pub fn end(&mut self, request: Fingerprint, vm: &VmName, number: u64) {
-        let is_it = |trial: &Trial| trial.vm == *vm && trial.number == number;
-        if self.by_request.get(&request).is_some_and(is_it) {
+        let is_same = |trial: &Trial| trial.vm == *vm && trial.number == number;
+        if self.by_request.get(&request).is_some_and(is_same) {
             self.by_request.remove(&request);
         }
     }
--- a/crates/trestle-dispatch/src/wait_limit.rs
+++ b/crates/trestle-dispatch/src/wait_limit.rs
@@ -12,20 +12,20 @@
 /// Number of pauses within which the next event must arrive.
 const STALLED_PAUSES: u64 = 4;
 /// Shortest wait limit, for routes without an objective.
-const LEAST_MS: u64 = 100;
+const MIN_MS: u64 = 100;
 
 /// Returns the wait limit for the whole answer of a plain call: while another send is allowed, one
 /// that is no longer on time is aborted for it.
 pub fn answer_ms(route: &Route) -> u64 {
-    route.objective_ms.max(LEAST_MS)
+    route.objective_ms.max(MIN_MS)
 }
 
 /// Returns the wait limit for the first event of a stream.
 pub fn first_event_ms(route: &Route) -> u64 {
-    (FIRST_EVENT_OBJECTIVES * route.objective_ms).max(LEAST_MS)
+    (FIRST_EVENT_OBJECTIVES * route.objective_ms).max(MIN_MS)
 }
 
 /// Returns the wait limit for each further event of a stream.
 pub fn next_event_ms(route: &Route) -> u64 {
-    (STALLED_PAUSES * route.pause_ms).max(LEAST_MS)
+    (STALLED_PAUSES * route.pause_ms).max(MIN_MS)
 }
