--- a/crates/trestle-dispatch/src/policy.rs
+++ b/crates/trestle-dispatch/src/policy.rs
@@ -84,7 +84,7 @@
 impl fmt::Display for UnknownMechanism {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names: Vec<&str> = Mechanism::ALL.iter().map(|mechanism| mechanism.name()).collect();
-        write!(formatter, "unknown mechanism `{}`; expected one of {}", self.name, names.join(", "))
+        write!(formatter, "no mechanism `{}`; expected one of {}", self.name, names.join(", "))
     }
 }
 
