--- a/crates/trestle-dispatch/src/placing.rs
+++ b/crates/trestle-dispatch/src/placing.rs
@@ -45,7 +45,7 @@
     /// What the engine holds once all accepted orders are carried out.
     pub held: &'a Held,
     /// When models were loaded there.
-    pub arrived_ms: &'a BTreeMap<ModelName, u64>,
+    pub loaded_at_ms: &'a BTreeMap<ModelName, u64>,
     /// The change in progress, if any.
     pub change: Option<&'a Change>,
     /// Whether a change may begin there now.
--- a/crates/trestle-dispatch/src/placing/eviction.rs
+++ b/crates/trestle-dispatch/src/placing/eviction.rs
@@ -86,8 +86,10 @@
     /// Returns the value lost by evicting a model from an engine, and the time until its running
     /// requests there have ended; `None` if the model must stay.
     fn loss(&self, model: &ModelName, state: &EngineState<'_>) -> Option<(f64, f64)> {
-        let is_new =
-            state.arrived_ms.get(model).is_some_and(|at_ms| self.now_ms < at_ms + MIN_RESIDENCE_MS);
+        let is_new = state
+            .loaded_at_ms
+            .get(model)
+            .is_some_and(|at_ms| self.now_ms < at_ms + MIN_RESIDENCE_MS);
         let is_last = self.present(model) <= 1;
         if is_last && (is_new || self.models_in_demand.contains(model)) {
             return None;
--- a/crates/trestle-dispatch/src/sends.rs
+++ b/crates/trestle-dispatch/src/sends.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{EndpointName, ServiceName};
 
-/// Time for which an endpoint that refused a request unrun gets no further send of it. It is long
-/// enough to learn of a model that has been unloaded or loaded there.
+/// Time for which an endpoint that refused a request without running it gets no further send of it.
+/// It is long enough to learn of a model that has been unloaded or loaded there.
 const REFUSED_PAUSE_MS: u64 = 300;
 
 /// How one send of a request ended without an answer to pass on to the caller.
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -62,7 +62,7 @@
     entry_number: u64,
     /// When the last change of the engine ended.
     changed_ms: Option<u64>,
-    arrived_ms: BTreeMap<ModelName, u64>,
+    loaded_at_ms: BTreeMap<ModelName, u64>,
     change: Option<Change>,
     paused_until_ms: u64,
     /// Until when the engine counts as gone because it did not answer; a new entry ends this
@@ -107,7 +107,7 @@
             can_change.then_some(EngineState {
                 endpoint,
                 held: &record.held,
-                arrived_ms: &record.arrived_ms,
+                loaded_at_ms: &record.loaded_at_ms,
                 change: record.change.as_ref(),
                 may_change: may_order_at(&endpoint.name),
             })
@@ -193,9 +193,9 @@
         record.held.clone_from(chain.held());
         record.order_count = chain.order_count();
         record.changed_ms = Some(now_ms);
-        record.arrived_ms.retain(|model, _| chain.held().contains_key(model));
+        record.loaded_at_ms.retain(|model, _| chain.held().contains_key(model));
         if chain.is_done() {
-            record.arrived_ms.insert(change.model, now_ms);
+            record.loaded_at_ms.insert(change.model, now_ms);
         } else if record.order_count.is_none() {
             record.paused_until_ms = now_ms + FAILED_PAUSE_MS;
         }
@@ -249,7 +249,7 @@
             let record = self.engines.entry(endpoint.name.clone()).or_default();
             if record.started_unix_ms != endpoint.started_unix_ms {
                 // A new incarnation holds nothing, has no order in flight and counts its orders
-                // from 0.
+                // from the start.
                 *record = EngineRecord {
                     started_unix_ms: endpoint.started_unix_ms,
                     ..EngineRecord::default()
--- a/crates/trestle-dispatch/tests/placing.rs
+++ b/crates/trestle-dispatch/tests/placing.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Fixture {
     engines: Vec<Endpoint>,
-    arrived_ms: BTreeMap<ModelName, u64>,
+    loaded_at_ms: BTreeMap<ModelName, u64>,
     changes: BTreeMap<EndpointName, Change>,
     quiet: BTreeSet<EndpointName>,
     demand: Demand,
@@ -45,7 +45,7 @@
         let states = self.engines.iter().map(|endpoint| EngineState {
             endpoint,
             held: &endpoint.held,
-            arrived_ms: &self.arrived_ms,
+            loaded_at_ms: &self.loaded_at_ms,
             change: self.changes.get(&endpoint.name),
             may_change: !self.quiet.contains(&endpoint.name),
         });
@@ -130,7 +130,7 @@
 
     models_in_demand_or_just_loaded_are_kept => {
         let mut fixture = Fixture::new(vec![all_on_disk(endpoint("x", "z", &["a", "b", "c"]))]);
-        fixture.arrived_ms.insert("c".into(), NOW_MS - 300);
+        fixture.loaded_at_ms.insert("c".into(), NOW_MS - 300);
         let mut report = demand_for("d");
         report.waiting.push(waiting("a", None));
         fixture.add_report(report);
@@ -311,7 +311,7 @@
         ];
         let mut fixture = Fixture::new(engines);
         for model in ["a", "b", "c"] {
-            fixture.arrived_ms.insert(model.into(), NOW_MS - 300);
+            fixture.loaded_at_ms.insert(model.into(), NOW_MS - 300);
         }
         fixture.add_report(demand_for("d"));
         let plan = fixture.plan();
--- a/crates/trestle-dispatch/tests/selection.rs
+++ b/crates/trestle-dispatch/tests/selection.rs
@@ -118,7 +118,7 @@
     }
 
     // The leader of a large fleet answers after 300 ms; requests were refused after a quarter of
-    // that, with a guessed retry time.
+    // 300 ms, with a guessed retry time.
     request_waits_for_the_leaders_first_report_on_its_model => {
         let mut fixture = Fixture::new(vec![endpoint("x", "z", &["a"])], "b");
         fixture.wait();
@@ -224,8 +224,8 @@
         let x = endpoint("x", "z", &["a"]);
         (0..3).for_each(|_| fixture.local_view.request_started(&x, Some(&model), None));
         fixture.local_view.local_demand_for(&"s".into()).report(false, NOW_MS);
-        let note = EngineSummary { running: 5, ..EngineSummary::default() };
-        let engines = BTreeMap::from([(EndpointName::from("x"), note)]);
+        let summary = EngineSummary { running: 5, ..EngineSummary::default() };
+        let engines = BTreeMap::from([(EndpointName::from("x"), summary)]);
         let view = ReplicaView { engines, ..ReplicaView::default() };
         fixture.local_view.update_replicas("s".into(), view, 1, NOW_MS);
         assert_eq!(fixture.local_view.running(&x), 5);
--- a/crates/trestle-dispatch/tests/trials.rs
+++ b/crates/trestle-dispatch/tests/trials.rs
@@ -23,8 +23,8 @@
 cases! {
     one_of_simultaneous_attempts_runs => {
         let mut trials = Trials::default();
-        let begun = (0..77).filter(|number| trials.begin(REQUEST, vm(*number), 1, 1_000).is_ok());
-        assert_eq!(begun.count(), 1);
+        let started = (0..77).filter(|number| trials.begin(REQUEST, vm(*number), 1, 1_000).is_ok());
+        assert_eq!(started.count(), 1);
     }
 
     attempts_of_different_requests_run_together => {
