--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -1,6 +1,6 @@
-//! Carries out one change at one engine, order by order.
+//! Carries out one change at one engine, one order after another.
 
-use crate::{control::message::Message, daemon::Daemon, net::exchange::CallClient, notices};
+use crate::{control::message::Message, daemon::Daemon, net::exchange::CallClient, signals};
 use smol::Timer;
 use std::{sync::Arc, time::Duration};
 use trestle_core::names::ServiceName;
@@ -10,22 +10,22 @@
     orders::{NextStep, Order, OrderAnswer, OrderChain},
 };
 
-/// Time for an engine to answer an order or a question; it answers at once.
+/// Time limit for an engine's answer to an order or a report request; engines answer both at once.
 const CALL_MS: u64 = 500;
-/// Longest time for a change after the time that was planned: a load from the
-/// weight store beside others, or an unload behind long streams.
+/// Longest time by which a change may exceed its planned time. It covers a load from the weight
+/// store beside other loads, and an unload that waits for long streams.
 const OVERTIME_MS: u64 = 12_000;
 
-/// Why a change ends whose orders were for an earlier start of the engine.
-const STARTED_AGAIN: &str = "the engine has started again, or is gone";
+/// Failure of a change whose orders were for an earlier incarnation of the engine.
+const RESTARTED: &str = "the engine has started again, or is gone";
 
-/// Why one ends at an engine that has said meanwhile that it leaves.
-const LEAVES: &str = "the engine leaves";
+/// Failure of a change at an engine that has reported meanwhile that it is draining.
+const DRAINING: &str = "the engine leaves";
 
-/// Why one ends at an engine that wants nothing for longer than it may take.
-const RESTS: &str = "the engine asks for rest";
+/// Failure of a change at an engine whose requested backoff ends after the change's time limit.
+const BACKOFF: &str = "the engine asks for rest";
 
-/// Begins a change in a task of its own.
+/// Starts a task that carries out a change.
 pub(crate) fn start(
     daemon: &Arc<Daemon>,
     service: ServiceName,
@@ -49,49 +49,51 @@
     mut chain: OrderChain,
 ) {
     let client = CallClient::new(endpoint.address);
-    let started_ms = daemon.knowledge.now_ms();
+    let started_ms = daemon.shared_view.now_ms();
     let limit_ms = change.done_at_ms + OVERTIME_MS;
     let failure = loop {
         let (next, not_before_ms) = chain.next();
-        let rests_until_ms = daemon.rests_until_ms(&endpoint);
-        if rests_until_ms > limit_ms {
-            break Some(RESTS.to_owned());
+        let backoff_until_ms = daemon.backoff_until_ms(&endpoint);
+        if backoff_until_ms > limit_ms {
+            break Some(BACKOFF.to_owned());
         }
-        let wait_ms = not_before_ms.max(rests_until_ms).saturating_sub(daemon.knowledge.now_ms());
+        let wait_ms =
+            not_before_ms.max(backoff_until_ms).saturating_sub(daemon.shared_view.now_ms());
         if wait_ms > 0 {
             Timer::after(Duration::from_millis(wait_ms)).await;
-            // It may have asked for more rest meanwhile.
+            // The engine may have requested a longer backoff meanwhile.
             continue;
         }
-        let now_ms = daemon.knowledge.now_ms();
+        let now_ms = daemon.shared_view.now_ms();
         if now_ms > limit_ms {
             break Some("it took too long".to_owned());
         }
-        if !daemon.is_listed_start(&endpoint) {
-            break Some(STARTED_AGAIN.to_owned());
+        if !daemon.is_listed_incarnation(&endpoint) {
+            break Some(RESTARTED.to_owned());
         }
-        if matches!(next, NextStep::Send(..)) && !daemon.is_usable_start(&endpoint) {
-            break Some(LEAVES.to_owned());
+        if matches!(next, NextStep::Send(..)) && !daemon.is_usable_incarnation(&endpoint) {
+            break Some(DRAINING.to_owned());
         }
         match next {
             NextStep::Done => break None,
             NextStep::Failed(failure) => break Some(format!("{failure:?}")),
             NextStep::Report => {
-                let report = ask(&daemon, &client, &endpoint).await;
+                let report = request_report(&daemon, &client, &endpoint).await;
                 if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
-                    break Some(STARTED_AGAIN.to_owned());
+                    break Some(RESTARTED.to_owned());
                 }
-                chain.apply_report(report.as_ref(), daemon.knowledge.now_ms());
+                chain.apply_report(report.as_ref(), daemon.shared_view.now_ms());
             }
             NextStep::Send(order, count) => {
-                let Some(answer) = give(&daemon, &client, &endpoint, &order, count).await else {
+                let Some(answer) = send_order(&daemon, &client, &endpoint, &order, count).await
+                else {
                     break Some("the lease has run out".to_owned());
                 };
-                chain.apply_answer(answer, daemon.knowledge.now_ms());
+                chain.apply_answer(answer, daemon.shared_view.now_ms());
             }
         }
     };
-    let took_ms = daemon.knowledge.now_ms() - started_ms;
+    let took_ms = daemon.shared_view.now_ms() - started_ms;
     let planned_ms = change.done_at_ms.saturating_sub(started_ms);
     let (name, model) = (&endpoint.name, &change.model);
     match &failure {
@@ -102,31 +104,35 @@
             tracing::warn!(endpoint = %name, %model, took_ms, planned_ms, failure, "order: A change failed.");
         }
     }
-    daemon.metrics.change(failure.is_none(), change.is_remote, took_ms);
-    daemon.tell(Message::ChangeEnded { service, engine: endpoint.incarnation(), chain });
+    daemon.metrics.record_change(failure.is_none(), change.is_remote, took_ms);
+    daemon.send(Message::ChangeFinished { service, engine: endpoint.incarnation(), chain });
 }
 
-async fn ask(daemon: &Daemon, client: &CallClient, endpoint: &Endpoint) -> Option<EngineReport> {
+async fn request_report(
+    daemon: &Daemon,
+    client: &CallClient,
+    endpoint: &Endpoint,
+) -> Option<EngineReport> {
     let call = (daemon.wire.endpoint.report_call)();
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => answer,
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No report.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The engine sent no usable report.");
             return None;
         }
     };
-    notices::hear_call(daemon, endpoint, &answer);
+    signals::process_call(daemon, endpoint, &answer);
     match (daemon.wire.endpoint.report_answer)(answer.status, &answer.body) {
         Ok(report) => Some(report),
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No report.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The engine sent no usable report.");
             None
         }
     }
 }
 
-/// Gives an order, if one may leave now.
-async fn give(
+/// Sends an order. Returns `None` if no order may be sent now.
+async fn send_order(
     daemon: &Daemon,
     client: &CallClient,
     endpoint: &Endpoint,
@@ -134,7 +140,7 @@
     count: u64,
 ) -> Option<OrderAnswer> {
     let leader = &daemon.settings.vm;
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     let token = daemon.order_permits.token(&endpoint.domain, now_ms)?;
     if !daemon.with_order_log(|log| log.may_order(&endpoint.name, now_ms)) {
         return None;
@@ -143,16 +149,16 @@
     let call = (daemon.wire.endpoint.order_call)(&endpoint.name, order, count, leader, token);
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => {
-            notices::hear_call(daemon, endpoint, &answer);
+            signals::process_call(daemon, endpoint, &answer);
             (daemon.wire.endpoint.order_answer)(answer.status)
         }
         Err(error) => {
-            tracing::warn!(endpoint = %endpoint.name, %error, "order: No answer.");
+            tracing::warn!(endpoint = %endpoint.name, %error, "order: The order was not answered.");
             OrderAnswer::Unknown
         }
     };
-    let now_ms = daemon.knowledge.now_ms();
+    let now_ms = daemon.shared_view.now_ms();
     daemon.with_order_log(|log| log.record_end(&endpoint.name, now_ms));
-    tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: Given.");
+    tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: An order was sent.");
     Some(answer)
 }
--- a/crates/trestle-entry/src/daemon.rs
+++ b/crates/trestle-entry/src/daemon.rs
@@ -1,12 +1,12 @@
-//! What the parts of the daemon share.
+//! The state that all parts of the daemon share.
 
 use crate::{
     clock::Clock,
     control::{message::Message, permit::OrderPermits},
-    knowledge::Knowledge,
     metrics::Metrics,
     net::pool::Pool,
     peer::calls::LeaderCalls,
+    shared_view::SharedView,
     stopping::Stopping,
     store::{client::Store, freshness::Freshness},
     wire::Wire,
@@ -27,12 +27,12 @@
     order_log::OrderLog, policy::Policy, quota_allocator::QuotaAllocator, trials::Trials,
 };
 
-/// What the parts of the daemon share.
+/// The state that all parts of the daemon share.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) settings: EntrySettings,
     pub(crate) wire: Wire,
-    pub(crate) knowledge: Knowledge,
+    pub(crate) shared_view: SharedView,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
@@ -51,7 +51,7 @@
 }
 
 impl Daemon {
-    /// A daemon that has not started.
+    /// Returns a daemon that has not started.
     pub(crate) fn new(
         settings: EntrySettings,
         wire: Wire,
@@ -61,7 +61,7 @@
     ) -> Self {
         let clock = Clock::start();
         Self {
-            knowledge: Knowledge::new(&settings, policy, clock),
+            shared_view: SharedView::new(&settings, policy, clock),
             store: Store::new(settings.store_address, wire.store, &settings.bounds),
             pool: Pool::new(clock),
             metrics,
@@ -82,94 +82,99 @@
         }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Returns whether the balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
             && self
-                .knowledge
+                .shared_view
                 .with(|local_view| local_view.catalog.is_some() && local_view.is_list_read)
     }
 
-    /// Puts changed bounds in force.
-    pub(crate) fn take_bounds(&self, bounds: &Bounds) {
-        self.knowledge.take_bounds(bounds);
-        self.freshness.take_bounds(bounds);
-        self.store.take_bounds(bounds);
-        self.stopping.take_bounds(bounds);
-        self.tell(Message::QuietTime(bounds.order_quiet_ms));
+    /// Applies changed bounds from the settings.
+    pub(crate) fn apply_bounds(&self, bounds: &Bounds) {
+        self.shared_view.apply_bounds(bounds);
+        self.freshness.apply_bounds(bounds);
+        self.store.apply_bounds(bounds);
+        self.stopping.apply_bounds(bounds);
+        self.send(Message::QuietTime(bounds.order_quiet_ms));
     }
 
-    /// Where other daemons reach this one.
+    /// Returns the address at which this daemon serves other daemons.
     pub(crate) fn peers_address(&self) -> SocketAddr {
         SocketAddr::new(self.settings.address, self.settings.peers_port)
     }
 
-    /// Looks at, or notes, when engines last got orders.
-    pub(crate) fn with_order_log<R>(&self, look: impl FnOnce(&mut OrderLog) -> R) -> R {
-        look(&mut self.order_log.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls a function with the log of the last orders to each engine.
+    pub(crate) fn with_order_log<R>(&self, f: impl FnOnce(&mut OrderLog) -> R) -> R {
+        f(&mut self.order_log.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, which attempts run of requests that ended endpoints.
-    pub(crate) fn with_trials<R>(&self, look: impl FnOnce(&mut Trials) -> R) -> R {
-        look(&mut self.trials.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls a function with the running attempts of requests under which endpoints crashed.
+    pub(crate) fn with_trials<R>(&self, f: impl FnOnce(&mut Trials) -> R) -> R {
+        f(&mut self.trials.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what this daemon has to lend while it leads.
-    pub(crate) fn with_lender<R>(&self, look: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
-        look(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls a function with the allocator of team limits, which is used while this daemon leads.
+    pub(crate) fn with_quota_allocator<R>(&self, f: impl FnOnce(&mut QuotaAllocator) -> R) -> R {
+        f(&mut self.quota_allocator.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what this daemon decides on limits of endpoints while it leads.
-    pub(crate) fn with_endpoint_limits<R>(&self, look: impl FnOnce(&mut EndpointLimits) -> R) -> R {
-        look(&mut self.endpoint_limits.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls a function with the limits of endpoints on which this daemon decides while it leads.
+    pub(crate) fn with_endpoint_limits<R>(&self, f: impl FnOnce(&mut EndpointLimits) -> R) -> R {
+        f(&mut self.endpoint_limits.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Looks at, or changes, what it may spend of the limits of teams.
-    pub(crate) fn with_allowances<R>(&self, look: impl FnOnce(&mut Allowances) -> R) -> R {
-        look(&mut self.allowances.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Calls a function with the parts of team limits that this daemon may spend.
+    pub(crate) fn with_allowances<R>(&self, f: impl FnOnce(&mut Allowances) -> R) -> R {
+        f(&mut self.allowances.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The endpoints of a service that may get new work.
-    pub(crate) fn usable(&self, service: &ServiceName) -> BTreeMap<EndpointName, Arc<Endpoint>> {
-        self.knowledge.with(|local_view| {
+    /// Returns the endpoints of a service that may receive new work.
+    pub(crate) fn usable_endpoints(
+        &self,
+        service: &ServiceName,
+    ) -> BTreeMap<EndpointName, Arc<Endpoint>> {
+        self.shared_view.with(|local_view| {
             let usable = local_view.directory.usable_shared(service).cloned();
             usable.map(|endpoint| (endpoint.name.clone(), endpoint)).collect()
         })
     }
 
-    /// Whether an endpoint is still listed as this start of it.
-    pub(crate) fn is_listed_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
+    /// Returns whether the list still holds this incarnation of an endpoint.
+    pub(crate) fn is_listed_incarnation(&self, endpoint: &Endpoint) -> bool {
+        self.shared_view.with(|local_view| local_view.directory.contains(&endpoint.incarnation()))
     }
 
-    /// The same, and it is not leaving.
-    pub(crate) fn is_usable_start(&self, endpoint: &Endpoint) -> bool {
-        self.knowledge.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
+    /// Returns whether the list still holds this incarnation of an endpoint, and it is not
+    /// draining.
+    pub(crate) fn is_usable_incarnation(&self, endpoint: &Endpoint) -> bool {
+        self.shared_view.with(|local_view| local_view.directory.is_usable(&endpoint.incarnation()))
     }
 
-    /// Until when an endpoint wants nothing of this daemon; 0 if it has not said so.
-    pub(crate) fn rests_until_ms(&self, endpoint: &Endpoint) -> u64 {
+    /// Returns until when an endpoint has requested a backoff from this daemon; 0 if it has not.
+    pub(crate) fn backoff_until_ms(&self, endpoint: &Endpoint) -> u64 {
         let incarnation = endpoint.incarnation();
-        self.knowledge.with(|local_view| {
-            local_view.backpressure.backoff(&incarnation).map_or(0, |rest| rest.until_ms)
+        self.shared_view.with(|local_view| {
+            local_view.backpressure.backoff(&incarnation).map_or(0, |backoff| backoff.until_ms)
         })
     }
 
-    /// A number that nothing else in this process has.
+    /// Returns a number that is unique in this process.
     pub(crate) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Asks the control thread something; `None` if it takes no questions any more.
-    pub(crate) async fn ask<T>(&self, question: impl FnOnce(Sender<T>) -> Message) -> Option<T> {
+    /// Sends a query to the control thread. Returns `None` if the control thread no longer
+    /// answers.
+    pub(crate) async fn query<T>(&self, message: impl FnOnce(Sender<T>) -> Message) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
-        self.tell(question(reply));
+        self.send(message(reply));
         answer.recv().await.ok()
     }
 
-    /// Tells the control thread something.
-    pub(crate) fn tell(&self, message: Message) {
-        // The channel closes only when the control thread has ended with the process.
+    /// Sends a message to the control thread.
+    pub(crate) fn send(&self, message: Message) {
+        // The channel closes only when the control thread terminates with the process.
         let _ = self.control.try_send(message);
     }
 }
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -1,39 +1,37 @@
-//! The daemon before an outside store: traffic and control around the decisions
-//! of [`trestle_dispatch`].
+//! The daemon between callers and endpoints, which uses an external store: traffic and control
+//! around the decisions of [`trestle_dispatch`].
 //!
-//! All daemons are alike. Each follows the operators' configuration and the list
-//! of live endpoints in the store, and serves callers by what it knows. One of
-//! them at a time, by a lease in the store, gives orders to engines.
+//! All daemons are alike. Each follows the operators' configuration and the list of live endpoints
+//! in the store, and serves callers by its local view. For each group of engines one daemon at a
+//! time, by a lease in the store, gives orders to the engines.
 //!
-//! - [`traffic`] carries requests. It looks at [`knowledge`] and changes only the
-//!   records in it.
-//! - [`store`] follows the store, [`peer`] the leader; both change
-//!   [`knowledge`].
-//! - [`control`] is one thread that holds the lease and plans changes at engines.
-//! - [`wire`] is what the daemon has to be told about its surroundings.
+//! - [`traffic`] handles requests. It reads [`shared_view`] and changes only the records in it.
+//! - [`store`] follows the store, [`peer`] the leader; both change [`shared_view`].
+//! - [`control`] is one thread that holds the leases and plans changes at engines.
+//! - [`wire`] defines the formats of the store, endpoints and callers.
 //!
-//! Imports run from traffic, store, peer and control to `daemon`, `knowledge`, `broken`
-//! and `net`, and from there to decisions.
+//! Imports run from traffic, store, peer and control to `daemon`, `shared_view`, `connection_loss` and `net`,
+//! and from there to decisions.
 
-mod broken;
+mod allocation;
+mod cleanup;
 mod clock;
+mod connection_loss;
 mod control;
 mod crashes;
 mod daemon;
 mod departures;
-mod knowledge;
-mod lending;
 pub mod logs;
 mod metrics;
 mod net;
-mod notices;
 mod peer;
-mod places;
+mod send_permits;
 mod settings_watch;
+mod shared_view;
+mod signals;
 mod stop;
 mod stopping;
 mod store;
-mod tidy;
 mod traffic;
 mod trial;
 pub mod wire;
@@ -41,11 +39,11 @@
 use crate::{
     daemon::Daemon,
     logs::Logs,
-    metrics::{Counted, Metrics},
+    metrics::{ExternalCounts, Metrics},
     settings_watch::SettingsWatch,
     traffic::{
         answer::{self, Body},
-        serve::{self, Closing, Limits},
+        serve::{self, ConnectionLimits, ListenerShutdown},
     },
 };
 use bytes::Bytes;
@@ -57,54 +55,55 @@
 use trestle_config::entry_settings::EntrySettings;
 use trestle_dispatch::policy::{Mechanism, Policy, UnknownMechanism};
 
-/// Limits towards the balancer, readers of metrics, and callers before there is a
+/// Limits of connections from the balancer and metrics readers, and from callers before there is a
 /// configuration.
-const OWN_LIMITS: Limits = Limits { header_bytes: 16 << 10, idle_ms: 30_000 };
+const DEFAULT_LIMITS: ConnectionLimits =
+    ConnectionLimits { header_bytes: 16 << 10, idle_ms: 30_000 };
 
-/// The daemon cannot start or go on.
+/// An error that prevents the daemon from starting or running.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The log filter is not understood.
+    /// The log filter cannot be parsed.
     #[snafu(display("{source}"))]
     Filter {
-        /// Why.
+        /// The cause.
         source: logs::FilterError,
     },
-    /// The settings leave out a mechanism that does not exist.
+    /// The settings disable a mechanism that does not exist.
     #[snafu(display("settings: without: {source}"))]
     Mechanism {
-        /// Why.
+        /// The cause.
         source: UnknownMechanism,
     },
     /// Metrics cannot be set up.
     #[snafu(display("metrics cannot be set up: {source}"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: opentelemetry_sdk::error::OTelSdkError,
     },
-    /// An address cannot be listened at.
-    #[snafu(display("address {address} cannot be used: {source}"))]
+    /// The daemon cannot listen at an address.
+    #[snafu(display("cannot listen at address {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The system gives no thread or signals.
-    #[snafu(display("the system gives no {what}: {source}"))]
+    /// The operating system provides no thread or no signals.
+    #[snafu(display("the operating system provides no {what}: {source}"))]
     System {
-        /// What it does not give.
+        /// The missing resource.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// Fails if it cannot start.
+/// Fails if the daemon cannot start, or cannot receive signals.
 pub fn run(settings: EntrySettings, settings_path: PathBuf, wire: wire::Wire) -> Result<(), Error> {
     let logs = Arc::new(Logs::start(&settings.log).context(FilterSnafu)?);
     let metrics = Metrics::new().context(MetricsSnafu)?;
@@ -115,12 +114,12 @@
     smol::block_on(serve_all(daemon, logs, settings_path))
 }
 
-/// What decides, by the settings.
+/// Returns the policy with the mechanisms that the settings leave enabled.
 fn policy(settings: &EntrySettings) -> Result<Policy, Error> {
     let without = settings.without.iter().map(|name| name.parse());
     let without: Vec<Mechanism> = without.collect::<Result<_, _>>().context(MechanismSnafu)?;
     if !without.is_empty() {
-        tracing::warn!(without = ?without, "daemon: Mechanisms are left out.");
+        tracing::warn!(without = ?without, "daemon: Some mechanisms are disabled.");
     }
     Ok(Policy::without(without))
 }
@@ -144,7 +143,7 @@
     smol::spawn(peer::server::run(Arc::clone(&daemon), peers)).detach();
     smol::spawn(peer::sync::run(Arc::clone(&daemon))).detach();
     smol::spawn(peer::leaders::run(Arc::clone(&daemon))).detach();
-    smol::spawn(tidy::run(Arc::clone(&daemon))).detach();
+    smol::spawn(cleanup::run(Arc::clone(&daemon))).detach();
     serve_readiness(&daemon, readiness);
     serve_metrics(&daemon, logs, metrics);
     let closing = serve_callers(&daemon, callers);
@@ -158,16 +157,16 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<Closing> {
-    let closing = Arc::new(Closing::default());
+fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<ListenerShutdown> {
+    let closing = Arc::new(ListenerShutdown::default());
     let limits = {
         let daemon = Arc::clone(daemon);
-        move || match daemon.knowledge.catalog() {
-            Some(catalog) => Limits {
+        move || match daemon.shared_view.catalog() {
+            Some(catalog) => ConnectionLimits {
                 header_bytes: catalog.limits.header_bytes,
                 idle_ms: catalog.limits.idle_ms + catalog.limits.header_ms,
             },
-            None => OWN_LIMITS,
+            None => DEFAULT_LIMITS,
         }
     };
     let daemon = Arc::clone(daemon);
@@ -185,34 +184,34 @@
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
-        async move { own_answer(status, Bytes::new()) }
+        async move { plain_answer(status, Bytes::new()) }
     };
-    smol::spawn(serve::run(listener, Arc::default(), || OWN_LIMITS, handle)).detach();
+    smol::spawn(serve::run(listener, Arc::default(), || DEFAULT_LIMITS, handle)).detach();
 }
 
 fn serve_metrics(daemon: &Arc<Daemon>, logs: Arc<Logs>, listener: TcpListener) {
     let daemon = Arc::clone(daemon);
     let handle = move |_: Request<Incoming>| {
-        let text = daemon.metrics.to_text(counted(&daemon, &logs));
-        async move { own_answer(StatusCode::OK, Bytes::from(text)) }
+        let text = daemon.metrics.to_text(external_counts(&daemon, &logs));
+        async move { plain_answer(StatusCode::OK, Bytes::from(text)) }
     };
-    smol::spawn(serve::run(listener, Arc::default(), || OWN_LIMITS, handle)).detach();
+    smol::spawn(serve::run(listener, Arc::default(), || DEFAULT_LIMITS, handle)).detach();
 }
 
-/// What metrics tell that is counted elsewhere.
-fn counted(daemon: &Daemon, logs: &Logs) -> Counted {
-    let now_ms = daemon.knowledge.now_ms();
-    daemon.knowledge.with(|local_view| Counted {
-        store_calls: daemon.store.calls(),
+/// Returns the metric values that are counted elsewhere.
+fn external_counts(daemon: &Daemon, logs: &Logs) -> ExternalCounts {
+    let now_ms = daemon.shared_view.now_ms();
+    daemon.shared_view.with(|local_view| ExternalCounts {
+        store_calls: daemon.store.call_count(),
         log_drops: logs.dropped(),
         limited: local_view.backpressure.limited(),
-        resting: local_view.backpressure.backing_off(now_ms),
-        leaving: local_view.directory.iter().filter(|endpoint| endpoint.is_draining).count(),
+        backing_off: local_view.backpressure.backing_off(now_ms),
+        draining: local_view.directory.iter().filter(|endpoint| endpoint.is_draining).count(),
     })
 }
 
-fn own_answer(status: StatusCode, content: Bytes) -> Response<Body> {
-    let mut response = Response::new(answer::whole(content));
+fn plain_answer(status: StatusCode, content: Bytes) -> Response<Body> {
+    let mut response = Response::new(answer::full_body(content));
     *response.status_mut() = status;
     response
 }
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -1,8 +1,8 @@
-//! Tells the leader what callers ask for, and learns where models are.
+//! Sync with the leader: reports the demand of callers, and receives where models are loaded.
 
 use crate::{
     control::message::{Leader, Message},
-    crashes::CrashExchange,
+    crashes::CrashReportExchange,
     daemon::Daemon,
     departures,
     peer::{calls, client::LeaderClient},
@@ -21,182 +21,188 @@
     replicas::{WireAsking, WireDigest, WireView},
 };
 
-/// Time for which what the leader said is believed after it fell silent. The list
-/// of endpoints has caught up by then.
-const BELIEVED_MS: u64 = 3_000;
-/// Time after which a daemon that asks another group's leader tries its own again.
-const TRY_OWN_MS: u64 = 2_000;
+/// Time for which the leader's last report is used after it stopped answering. The list of
+/// endpoints has caught up by then.
+const MAX_VIEW_AGE_MS: u64 = 3_000;
+/// Time after which a daemon that queries another group's leader tries its own leader again.
+const RETRY_OWN_MS: u64 = 2_000;
 
-/// What passes between this daemon and the leader that it asks.
+/// The state of the exchange between this daemon and the leaders that it queries.
 #[derive(Debug, Default)]
-struct Talk {
+struct LeaderExchange {
     client: LeaderClient,
-    /// The leader that has heard what this daemon remembers, by its fencing number.
-    told: Option<(DomainName, u64)>,
-    /// Leaders in a row that did not answer.
+    /// The leader that has received the demand remembered by this daemon, by its fencing number.
+    informed: Option<(DomainName, u64)>,
+    /// Number of consecutive leaders that did not answer.
     attempt: usize,
-    /// Since when another group's leader has been asked.
-    away_since_ms: Option<u64>,
-    /// What passes of requests under which endpoints ended, by group and its last leader's
-    /// fencing number. One that leads no more goes on with that.
-    crashes: BTreeMap<DomainName, (u64, CrashExchange)>,
-    /// Copies of its logs, by service.
+    /// Since when another group's leader has been queried; `None` while this daemon queries its
+    /// own.
+    substitute_since_ms: Option<u64>,
+    /// Exchanges about requests under which endpoints crashed, by group and its last leader's
+    /// fencing number. The exchange continues with a leader that has stepped down.
+    crashes: BTreeMap<DomainName, (u64, CrashReportExchange)>,
+    /// Copies of the leader's placement logs, by service.
     placements: BTreeMap<ServiceName, PlacementMirror>,
 }
 
-/// Tells and learns until the process ends.
+/// Exchanges sync requests with the leader until the process terminates.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
-    let mut talk = Talk::default();
-    let mut heard_ms = 0;
-    let mut is_heard = false;
+    let mut exchange = LeaderExchange::default();
+    let mut answered_ms = 0;
+    let mut has_leader = false;
     loop {
-        let urgent = daemon.knowledge.wished();
-        // A question about wishes that the leader knows waits there until one has arrived. Let a
-        // new one not wait behind it; but the answer about a new one must be heard.
-        let has_new = has_unanswered(&daemon);
-        let least_ms = pace(&daemon).min_ms();
-        let step = async { Some(talk.step(&daemon).await) };
+        let demand_added = daemon.shared_view.demand_added();
+        // The leader holds a request about known demand until a requested model has arrived. New
+        // demand must not wait for that answer, so it aborts such a request; but the answer about
+        // new demand must not be lost.
+        let has_new_demand = has_unplanned_demand(&daemon);
+        let min_ms = intervals(&daemon).min_ms();
+        let sync = async { Some(exchange.sync_once(&daemon).await) };
         let interrupted = async {
-            if has_new {
+            if has_new_demand {
                 future::pending::<()>().await;
             }
-            Timer::after(Duration::from_millis(least_ms)).await;
-            urgent.await;
+            Timer::after(Duration::from_millis(min_ms)).await;
+            demand_added.await;
             None
         };
-        let Some(synced) = step.or(interrupted).await else { continue };
-        let urgent = daemon.knowledge.wished();
-        let now_ms = daemon.knowledge.now_ms();
-        talk.note_outcome(synced, now_ms);
-        if synced != is_heard {
-            is_heard = synced;
-            daemon.knowledge.change(|local_view| local_view.record_leader(is_heard, now_ms));
-            tracing::info!(heard = is_heard, "sync: The leader was found or lost.");
+        let Some(synced) = sync.or(interrupted).await else { continue };
+        let demand_added = daemon.shared_view.demand_added();
+        let now_ms = daemon.shared_view.now_ms();
+        exchange.record_outcome(synced, now_ms);
+        if synced != has_leader {
+            has_leader = synced;
+            daemon.shared_view.change(|local_view| local_view.record_leader(has_leader, now_ms));
+            tracing::info!(heard = has_leader, "sync: The leader was found or lost.");
         }
         if synced {
-            heard_ms = now_ms;
-        } else if now_ms > heard_ms + BELIEVED_MS {
+            answered_ms = now_ms;
+        } else if now_ms > answered_ms + MAX_VIEW_AGE_MS {
             let has_read_entries = !daemon.freshness.must_reread();
-            daemon.knowledge.with(|local_view| local_view.clear_replicas(has_read_entries));
+            daemon.shared_view.with(|local_view| local_view.clear_replicas(has_read_entries));
         }
-        let pace = pace(&daemon);
-        let least_ms = pace.min_ms();
-        Timer::after(Duration::from_millis(least_ms)).await;
+        let intervals = intervals(&daemon);
+        let min_ms = intervals.min_ms();
+        Timer::after(Duration::from_millis(min_ms)).await;
         let next_ms = match synced {
-            true if is_waiting(&daemon) => least_ms,
-            true => pace.idle_ms(),
-            // The leader may only have been slow, and what it has to say is due.
-            false => pace.waiting_ms(),
+            true if has_waiting(&daemon) => min_ms,
+            true => intervals.idle_ms(),
+            // The leader may only have been slow, and its report is due.
+            false => intervals.waiting_ms(),
         };
         let pause = async {
-            Timer::after(Duration::from_millis(next_ms.saturating_sub(least_ms))).await;
+            Timer::after(Duration::from_millis(next_ms.saturating_sub(min_ms))).await;
         };
-        urgent.or(pause).await;
+        demand_added.or(pause).await;
     }
 }
 
-fn pace(daemon: &Daemon) -> SyncIntervals {
-    let askers = daemon.knowledge.with(|local_view| local_view.leader_clients);
-    SyncIntervals::new(askers, daemon.freshness.shortest_bound_ms())
+fn intervals(daemon: &Daemon) -> SyncIntervals {
+    let clients = daemon.shared_view.with(|local_view| local_view.leader_clients);
+    SyncIntervals::new(clients, daemon.freshness.shortest_bound_ms())
 }
 
-fn has_unanswered(daemon: &Daemon) -> bool {
+fn has_unplanned_demand(daemon: &Daemon) -> bool {
     daemon
-        .knowledge
+        .shared_view
         .with(|local_view| local_view.local_demand.values().any(LocalDemand::has_unplanned))
 }
 
-fn is_waiting(daemon: &Daemon) -> bool {
-    let waits = |local_view: &mut LocalView| {
-        local_view.local_demand.values().any(|asked| !asked.waiting.is_empty())
+fn has_waiting(daemon: &Daemon) -> bool {
+    let has_waiting = |local_view: &mut LocalView| {
+        local_view.local_demand.values().any(|demand| !demand.waiting.is_empty())
     };
-    daemon.knowledge.with(waits)
+    daemon.shared_view.with(has_waiting)
 }
 
-impl Talk {
-    /// Counts leaders that did not answer; one that stands in for this daemon's own is asked
-    /// for a while, and then its own again.
-    fn note_outcome(&mut self, synced: bool, now_ms: u64) {
+impl LeaderExchange {
+    /// Counts consecutive leaders that did not answer. After a while with a substitute, this
+    /// daemon's own leader is tried again.
+    fn record_outcome(&mut self, synced: bool, now_ms: u64) {
         if !synced {
             self.attempt += 1;
         } else if self.attempt > 0 {
-            let since_ms = *self.away_since_ms.get_or_insert(now_ms);
-            if now_ms >= since_ms + TRY_OWN_MS {
+            let since_ms = *self.substitute_since_ms.get_or_insert(now_ms);
+            if now_ms >= since_ms + RETRY_OWN_MS {
                 self.attempt = 0;
             }
         }
         if self.attempt == 0 {
-            self.away_since_ms = None;
+            self.substitute_since_ms = None;
         }
     }
 
-    /// Tells once; returns whether a leader answered.
-    async fn step(&mut self, daemon: &Arc<Daemon>) -> bool {
-        let asked_ms = daemon.knowledge.now_ms();
+    /// Sends one sync request. Returns whether a leader answered.
+    async fn sync_once(&mut self, daemon: &Arc<Daemon>) -> bool {
+        let requested_ms = daemon.shared_view.now_ms();
         let (answer, leader) = match calls::leader(daemon, self.attempt).await {
             Leader::Here { group, token } => {
-                let asking = self.asking(daemon, &group, token);
-                (daemon.ask(|reply| Message::Sync { asking, reply }).await, Some((group, token)))
+                let request = self.build_request(daemon, &group, token);
+                (daemon.query(|reply| Message::Sync { request, reply }).await, Some((group, token)))
             }
             Leader::At { address, group, token } => {
-                let mut asking = self.asking(daemon, &group, token);
+                let mut request = self.build_request(daemon, &group, token);
                 let (known, exchange) = self.crashes.entry(group.clone()).or_default();
                 if *known != token {
-                    (*known, *exchange) = (token, CrashExchange::default());
+                    (*known, *exchange) = (token, CrashReportExchange::default());
                 }
-                exchange.ask(daemon, &mut asking);
-                let answer = self.client.sync(address, asking).await;
+                exchange.add_to(daemon, &mut request);
+                let answer = self.client.sync(address, request).await;
                 if let Err(error) = &answer {
-                    tracing::debug!(%error, "sync: The leader does not answer.");
+                    tracing::debug!(%error, "sync: The leader did not answer.");
                 }
                 (answer.ok(), Some((group, token)))
             }
             Leader::Nobody => (None, None),
         };
         let Some(mut answer) = answer else {
-            daemon.tell(Message::LeaderSilent);
+            daemon.send(Message::LeaderUnresponsive);
             return false;
         };
         let exchange = leader.as_ref().and_then(|(group, _)| self.crashes.get_mut(group));
         if let Some((_, exchange)) = exchange {
-            exchange.answered(daemon, answer.refused.take());
+            exchange.record_answer(daemon, answer.refused.take());
         }
-        daemon.tell(Message::LeasesTold(answer.leases));
+        daemon.send(Message::LeasesReceived(answer.leases));
         for (group, resigned) in answer.resigned {
             let (resignation, engines) = resigned.into();
-            daemon.tell(Message::Resigned { group: group.into(), resignation, engines });
+            daemon.send(Message::Resigned { group: group.into(), resignation, engines });
         }
         if !answer.is_leader {
-            daemon.tell(Message::LeaderSilent);
+            daemon.send(Message::LeaderUnresponsive);
             return false;
         }
-        self.told = leader;
-        self.learn(daemon, answer.views);
+        self.informed = leader;
+        self.apply_views(daemon, answer.views);
         if let Some(relay) = answer.relay {
-            take_relay(daemon, relay, asked_ms);
+            apply_relay(daemon, relay, requested_ms);
         }
         true
     }
 
-    fn asking(&mut self, daemon: &Daemon, group: &DomainName, token: u64) -> WireAsking {
-        let is_told = self.told.as_ref().is_some_and(|told| (&told.0, told.1) == (group, token));
+    fn build_request(&mut self, daemon: &Daemon, group: &DomainName, token: u64) -> WireAsking {
+        let is_informed = self
+            .informed
+            .as_ref()
+            .is_some_and(|informed| (&informed.0, informed.1) == (group, token));
         WireAsking {
             vm: daemon.settings.vm.clone(),
             group: group.to_string(),
             is_leader: false,
             members: 0,
-            digests: self.digests(daemon, !is_told),
+            digests: self.demand_reports(daemon, !is_informed),
             crashes: Vec::new(),
-            have: self.have(daemon, is_told),
+            have: self.positions(daemon, is_informed),
         }
     }
 
-    /// What this daemon already has of the store, and of the leader's logs.
-    fn have(&self, daemon: &Daemon, departures: bool) -> WireHave {
+    /// Returns the positions that this daemon has reached in the store's tables and in the
+    /// leader's placement logs.
+    fn positions(&self, daemon: &Daemon, departures: bool) -> WireHave {
         let placements = self.placements.iter();
         let placements =
             placements.map(|(service, mirror)| (service.to_string(), mirror.position().into()));
-        daemon.knowledge.with(|local_view| WireHave {
+        daemon.shared_view.with(|local_view| WireHave {
             endpoints: local_view.listing.version(),
             config: local_view.catalog.as_ref().map_or(0, |catalog| catalog.version),
             refused: 0,
@@ -205,61 +211,62 @@
         })
     }
 
-    fn digests(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
-        let now_ms = daemon.knowledge.now_ms();
-        let Some(catalog) = daemon.knowledge.catalog() else { return Vec::new() };
+    fn demand_reports(&self, daemon: &Daemon, is_first: bool) -> Vec<WireDigest> {
+        let now_ms = daemon.shared_view.now_ms();
+        let Some(catalog) = daemon.shared_view.catalog() else { return Vec::new() };
         let engines = catalog.services.iter().filter(|(_, service)| service.engine.is_some());
-        let nothing = PlacementMirror::default();
-        let digests = engines.map(|(service, _)| {
-            let digest = daemon
-                .knowledge
+        let empty = PlacementMirror::default();
+        let reports = engines.map(|(service, _)| {
+            let report = daemon
+                .shared_view
                 .with(|local_view| local_view.local_demand_for(service).report(is_first, now_ms));
-            let placements = self.placements.get(service).unwrap_or(&nothing);
+            let placements = self.placements.get(service).unwrap_or(&empty);
             let log = placements.position().log;
-            WireDigest::new(service, digest, log, |name| placements.number(name))
+            WireDigest::new(service, report, log, |name| placements.number(name))
         });
-        digests.collect()
+        reports.collect()
     }
 
-    fn learn(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
-        let now_ms = daemon.knowledge.now_ms();
-        let mut is_news = false;
-        let counted = daemon.knowledge.with(|local_view| local_view.daemons);
+    fn apply_views(&mut self, daemon: &Daemon, views: BTreeMap<String, WireView>) {
+        let now_ms = daemon.shared_view.now_ms();
+        let mut has_changed = false;
+        let previously_counted = daemon.shared_view.with(|local_view| local_view.daemons);
         for (service, mut view) in views {
             let service = ServiceName::from(service);
             let placements = self.placements.entry(service.clone()).or_default();
             placements.apply_delta(std::mem::take(&mut view.placements).into());
             let planned = view.planned;
             let view = view.into_view(placements);
-            is_news |= daemon
-                .knowledge
+            has_changed |= daemon
+                .shared_view
                 .with(|local_view| local_view.update_replicas(service, view, planned, now_ms));
         }
-        let daemons = daemon.knowledge.with(|local_view| local_view.daemons);
-        if counted == 0 && daemons > 0 {
+        let daemons = daemon.shared_view.with(|local_view| local_view.daemons);
+        if previously_counted == 0 && daemons > 0 {
             tracing::info!(daemons, "sync: The daemons that share budgets were counted.");
         }
-        if is_news {
-            daemon.knowledge.say_changed();
+        if has_changed {
+            daemon.shared_view.notify_changed();
         }
     }
 }
 
-/// Takes what the leader passes on of the store. News are taken whatever their age; whether the
-/// store must be followed here depends on it. An answer says how old its news were when it was
-/// made, which was after it was asked for.
-fn take_relay(daemon: &Daemon, relay: WireRelay, asked_ms: u64) {
-    departures::heard_wire(daemon, relay.departures);
-    let taken = relay.config.is_none_or(|news| config::take_passed_on(daemon, &news.into()));
-    // The sender's proof was so old when it answered, which was after it was asked.
-    if let Some(age_ms) = relay.config_age_ms.filter(|_| taken) {
-        daemon.freshness.config_proven(asked_ms.saturating_sub(age_ms));
+/// Applies the changes of the store that the leader relays. Changes are applied whatever their
+/// age; whether this daemon must follow the store itself depends on it. The age in an answer
+/// refers to the time at which the answer was made, which was after the request.
+fn apply_relay(daemon: &Daemon, relay: WireRelay, requested_ms: u64) {
+    departures::receive_wire(daemon, relay.departures);
+    let is_applied =
+        relay.config.is_none_or(|update| config::apply_relayed(daemon, &update.into()));
+    // The age refers to the time of the answer, which was after the request.
+    if let Some(age_ms) = relay.config_age_ms.filter(|_| is_applied) {
+        daemon.freshness.record_config_proof(requested_ms.saturating_sub(age_ms));
     }
-    let next_ms = pace(daemon).idle_ms();
-    let now_ms = daemon.knowledge.now_ms();
-    let age_ms = relay.age_ms + now_ms.saturating_sub(asked_ms);
-    let is_fresh = daemon.freshness.relayed(age_ms, next_ms, now_ms);
+    let next_ms = intervals(daemon).idle_ms();
+    let now_ms = daemon.shared_view.now_ms();
+    let age_ms = relay.age_ms + now_ms.saturating_sub(requested_ms);
+    let is_fresh = daemon.freshness.record_relay(age_ms, next_ms, now_ms);
     if is_fresh {
-        endpoints::take_passed_on(daemon, relay.endpoints.into(), age_ms);
+        endpoints::apply_relayed(daemon, relay.endpoints.into(), age_ms);
     }
 }
