--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -124,7 +124,8 @@
 
 /// Returns the endpoint that accepts a request soonest if none of the eligible ones accepts it now.
 ///
-/// Returns `None` if one accepts it, or if none is eligible.
+/// Returns `None` if one accepts it or has a limit for which a send permit may be requested, or if
+/// none is eligible.
 pub fn throttled(inputs: ChoiceInputs<'_>, requirements: Requirements<'_>) -> Option<Throttled> {
     if inputs.local_view.backpressure.is_empty() {
         return None;
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -3,8 +3,8 @@
 //! The holder counts its time from just before it sent its last successful renewal, on its own
 //! monotonic clock; an observer counts from the moment at which it first saw that renewal. The
 //! first is never later than the second, so the holder has stopped before an observer's conditional
-//! write can replace it. An engine may confuse orders of two VMs that arrive shortly after each
-//! other, so a new holder also keeps a quiet time.
+//! write can replace it. An engine must not receive orders of two VMs shortly after each other, so
+//! a new holder also keeps a quiet time.
 //!
 //! A holder whose lease has expired steps down and reports so to the others. It gives no further
 //! order under that token, so the others need to keep the quiet time only at engines that it has
@@ -297,9 +297,9 @@
         self.next_write_ms = now_ms + STEPPED_DOWN_MS;
     }
 
-    /// Returns what other daemons are told after this one stepped down; `None` once the lease has
-    /// another holder. `settled_for_ms` is the time after which orders of this VM can no longer
-    /// take effect.
+    /// Returns what other daemons are told after this one stepped down; `None` if it has not, or
+    /// once the lease has another holder. `settled_for_ms` is the time after which orders of this
+    /// VM can no longer take effect.
     pub fn resignation(&self, settled_for_ms: u64, now_ms: u64) -> Option<Resignation> {
         let (row, _) = self.seen()?;
         (self.is_own(row) && self.has_resigned(row)).then(|| Resignation {
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -19,7 +19,7 @@
 /// Retry delay given to the caller of a plain service that has no endpoint left to try.
 const PLAIN_RETRY_MS: u64 = 300;
 /// Time after a refused caller's announced retry for which the demand for its model is kept.
-const EXPECTED_MS: u64 = 1_500;
+const RETURN_GRACE_MS: u64 = 1_500;
 
 /// A request and its state, as input of [`select`].
 #[derive(Debug, Clone, Copy)]
@@ -159,7 +159,7 @@
     now_ms: u64,
 ) -> Option<PendingDemand> {
     let is_kept = policy.has(Mechanism::KeepForReturning);
-    pending_demand(request, now_ms + retry_after_ms + EXPECTED_MS).filter(|_| is_kept)
+    pending_demand(request, now_ms + retry_after_ms + RETURN_GRACE_MS).filter(|_| is_kept)
 }
 
 fn choose_allowed(
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -142,7 +142,8 @@
         self.engines.values()
     }
 
-    /// Returns whether this leader is responsible for a demand of its own daemons.
+    /// Returns whether this leader is responsible for a demand of its own daemons. It is if no
+    /// group is assigned.
     pub fn is_assigned_here(&self, demand: &Loadable) -> bool {
         self.assigned_group(demand).is_none_or(|group| self.own_groups.contains(group))
     }
@@ -153,6 +154,7 @@
     }
 
     /// Returns whether the leader responsible for a demand has planned with it or had the time to.
+    /// Demand without an assigned group counts as planned.
     pub fn is_planned(&self, demand: &Loadable, now_ms: u64) -> bool {
         let Some(assignment) = self.assignments.get(demand) else { return true };
         self.own_groups.contains(&assignment.group)
