--- a/crates/trestle-entry/src/control/service_view.rs
+++ b/crates/trestle-entry/src/control/service_view.rs
@@ -139,7 +139,7 @@
     let sends_all = requester.is_leader || count <= MAX_READY_TO_ALL;
     let mut soonest: BTreeMap<Loadable, u64> = BTreeMap::new();
     let mut keep_soonest = |loadable: &Loadable, ms: u64, age_ms: u64| {
-        let ms = loadable::aged_ms(ms, age_ms);
+        let ms = loadable::remaining_ms(ms, age_ms);
         let soonest_ms = soonest.entry(loadable.clone()).or_insert(ms);
         *soonest_ms = (*soonest_ms).min(ms);
     };
@@ -148,7 +148,7 @@
             true => {
                 ready_in_ms.iter().for_each(|(loadable, ms)| keep_soonest(loadable, *ms, age_ms))
             }
-            false => loadable::ready_of(ready_in_ms, requester.models)
+            false => loadable::ready_times_of(ready_in_ms, requester.models)
                 .for_each(|(loadable, ms)| keep_soonest(loadable, ms, age_ms)),
         }
     }
