--- a/crates/trestle-entry/src/control/change.rs
+++ b/crates/trestle-entry/src/control/change.rs
@@ -82,14 +82,14 @@
                 if report.as_ref().is_some_and(|report| !report.is_from(&endpoint)) {
                     break Some(RESTARTED.to_owned());
                 }
-                chain.reported(report.as_ref(), daemon.shared_view.now_ms());
+                chain.apply_report(report.as_ref(), daemon.shared_view.now_ms());
             }
             NextStep::Send(order, count) => {
                 let Some(answer) = send_order(&daemon, &client, &endpoint, &order, count).await
                 else {
                     break Some("the lease has run out".to_owned());
                 };
-                chain.answered(answer, daemon.shared_view.now_ms());
+                chain.apply_answer(answer, daemon.shared_view.now_ms());
             }
         }
     };
@@ -145,7 +145,7 @@
     if !daemon.with_order_log(|log| log.may_order(&endpoint.name, now_ms)) {
         return None;
     }
-    daemon.with_order_log(|log| log.sent(&endpoint.name, now_ms + CALL_MS));
+    daemon.with_order_log(|log| log.record_send(&endpoint.name, now_ms + CALL_MS));
     let call = (daemon.wire.endpoint.order_call)(&endpoint.name, order, count, leader, token);
     let answer = match client.exchange(call, CALL_MS).await {
         Ok(answer) => {
@@ -158,7 +158,7 @@
         }
     };
     let now_ms = daemon.shared_view.now_ms();
-    daemon.with_order_log(|log| log.ended(&endpoint.name, now_ms));
+    daemon.with_order_log(|log| log.record_end(&endpoint.name, now_ms));
     tracing::debug!(endpoint = %endpoint.name, ?order, count, token, ?answer, "order: An order was sent.");
     Some(answer)
 }
--- a/crates/trestle-entry/src/control/sync_requests.rs
+++ b/crates/trestle-entry/src/control/sync_requests.rs
@@ -80,7 +80,7 @@
         }
         let services = &self.services;
         let due = self.held_answers.take_due(now_ms, |service, requester| {
-            services.get(service).map_or(0, |state| state.demand.planned(requester))
+            services.get(service).map_or(0, |state| state.demand.last_planned(requester))
         });
         for held in due {
             let answer = self.answer(&held, now_ms);
@@ -137,7 +137,7 @@
                 service_view
                     .view(requester, ViewSource { state, service, directory, others, led, now_ms })
             });
-            view.planned = state.demand.planned(&held.requester);
+            view.planned = state.demand.last_planned(&held.requester);
             view.daemons = daemons as u32;
             view.askers = self.members.current() as u32;
             views.insert(service.to_string(), view);
--- a/crates/trestle-wire/src/allocation.rs
+++ b/crates/trestle-wire/src/allocation.rs
@@ -34,9 +34,9 @@
 impl From<Allocation> for WireAllocation {
     fn from(allocation: Allocation) -> Self {
         match allocation {
-            Allocation::Lent(units) => Self::Lent { units },
+            Allocation::Granted(units) => Self::Lent { units },
             Allocation::Refused { in_ms } => Self::Refused { in_ms },
-            Allocation::NotLending => Self::NotLending,
+            Allocation::NotLeading => Self::NotLending,
         }
     }
 }
