--- a/crates/trestle-client/src/engine.rs
+++ b/crates/trestle-client/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines.
+//! Client of model engines.
 
 use crate::http;
 use trestle_core::{
@@ -8,10 +8,10 @@
 use trestle_wire::order::{WireOrder, WireOrderAnswer};
 use trillium_client::Client;
 
-/// Time after which an order counts as not answered.
+/// Time limit for the answer to an order.
 const ORDER_TIMEOUT_MS: u64 = 1_000;
 
-/// Sends orders to engines.
+/// Client that sends orders to engines.
 #[derive(Debug, Clone)]
 pub struct Engine {
     client: Client,
@@ -24,7 +24,8 @@
 }
 
 impl Engine {
-    /// Sends an order to the engine at a URL.
+    /// Sends an order to the engine at a URL and returns its outcome, which is `Unknown` if no valid
+    /// answer arrives in time.
     pub async fn order(&self, url: &str, order: &Order) -> OrderOutcome {
         let url = format!("{url}/orders");
         let body = WireOrder::from(order);
--- a/crates/trestle-client/src/http.rs
+++ b/crates/trestle-client/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP exchanges with a time-out.
+//! HTTP requests with a time limit, for small bodies.
 
 use crate::error::{BodySnafu, Inner, Result, UnreachableSnafu};
 use futures_lite::FutureExt;
@@ -9,31 +9,31 @@
 use trillium_client::{Client, Conn};
 use trillium_smol::ClientConfig;
 
-/// Largest answer to a control request.
+/// Largest body of a response.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// A client that keeps connections for later requests.
+/// Creates a client that keeps connections open for later requests.
 pub fn pooled_client() -> Client {
     Client::new(ClientConfig::default().with_nodelay(true)).with_default_pool()
 }
 
-/// A client that opens a connection for each request.
+/// Creates a client that opens a new connection for each request.
 ///
-/// A kept connection may be closed by the other side at the moment a request
-/// is sent, and then nobody can tell whether it was received. Calls that may
-/// not be repeated go over new connections.
+/// The server may close a kept connection at the moment a request is sent, and then the client
+/// cannot tell whether the request was received. Therefore calls that must not run twice are sent
+/// over new connections.
 pub fn single_use_client() -> Client {
     Client::new(ClientConfig::default().with_nodelay(true))
 }
 
-/// Sends a request and returns the whole answer, whatever its status.
+/// Sends a request and returns the status and the body of the response, whatever the status is.
 ///
 /// # Errors
 ///
-/// Fails if there is no whole answer within the time-out, in milliseconds.
+/// Fails if the complete response does not arrive within `timeout_ms` milliseconds.
 pub async fn exchange(conn: Conn, timeout_ms: u64) -> Result<(u16, Vec<u8>)> {
     let url = conn.url().to_string();
-    let answered = async {
+    let response = async {
         let mut conn = conn.await.context(UnreachableSnafu { url: &url })?;
         let status = conn.status().map_or(0, |status| status as u16);
         let body = conn.response_body().with_max_len(MAX_ANSWER_BYTES).read_bytes().await;
@@ -41,14 +41,15 @@
         conn.recycle().await;
         Ok((status, body))
     };
-    within(timeout_ms, &url, answered).await
+    within(timeout_ms, &url, response).await
 }
 
-/// Posts JSON and reads JSON.
+/// Posts a JSON body and parses the JSON response.
 ///
 /// # Errors
 ///
-/// Fails if there is no answer in time, or not one of success in JSON.
+/// Fails if the response does not arrive in time, has a status other than 2xx, or is not the
+/// expected JSON.
 pub async fn post_json<R: DeserializeOwned>(
     client: &Client,
     url: &str,
@@ -63,11 +64,12 @@
     Ok(serde_json::from_slice(&body).context(BodySnafu { url })?)
 }
 
-/// Reads JSON.
+/// Gets a URL and parses the JSON response.
 ///
 /// # Errors
 ///
-/// Fails if there is no answer in time, or not one of success in JSON.
+/// Fails if the response does not arrive in time, has a status other than 2xx, or is not the
+/// expected JSON.
 pub async fn get_json<R: DeserializeOwned>(
     client: &Client,
     url: &str,
--- a/crates/trestle-client/src/lib.rs
+++ b/crates/trestle-client/src/lib.rs
@@ -1,9 +1,9 @@
-//! Narrow clients for the platform, engines and peers.
+//! Clients for the platform, for engines and for peers.
 //!
-//! Each outside system is met through one small type, so that another system
-//! of the same kind can take its place by settings alone:
+//! Each outside system is accessed through one small type, so that another system of the same kind
+//! can replace it by a change of settings alone:
 //!
-//! - [`platform::Platform`]: table, object store and list of VMs.
+//! - [`platform::Platform`]: the platform's table, object store and list of VMs.
 //! - [`engine::Engine`]: orders to model engines.
 //! - [`peers::Peers`]: connections to other daemons.
 
--- a/crates/trestle-client/src/peers.rs
+++ b/crates/trestle-client/src/peers.rs
@@ -15,35 +15,35 @@
 use trestle_core::membership_row::MembershipRow;
 use trestle_wire::peer::{PeerClient, WireConfig, WirePermitAnswer, WirePermitRequest};
 
-/// Time for opening a connection to a peer.
+/// Time limit for opening a connection to a peer.
 const CONNECT_TIMEOUT_MS: u64 = 300;
-/// Time for which a peer that could not be connected to is not tried again.
+/// Time for which no new connection to a peer is tried after one could not be opened.
 const FAILED_PAUSE: Duration = Duration::from_millis(300);
-/// Time for a question that a peer answers at once.
-const QUESTION_TIMEOUT_MS: u64 = 300;
-/// Time for a peer to send its configuration.
+/// Time limit for a call that a peer answers at once.
+const CALL_TIMEOUT_MS: u64 = 300;
+/// Time limit for a peer to send its configuration.
 const CONFIG_TIMEOUT_MS: u64 = 5_000;
-/// Time beyond its deadline that an ask may stay unanswered.
-const ASK_GRACE_MS: u64 = 250;
+/// Time after its deadline for which the answer to a permit request is still awaited.
+const PERMIT_GRACE_MS: u64 = 250;
 
-/// Connections to other daemons, opened when they are first needed.
+/// Connections to other daemons; each is opened when it is first needed.
 #[derive(Debug, Default)]
 pub struct Peers {
     clients: Mutex<BTreeMap<String, Connection>>,
 }
 
-/// What is known of the way to a peer.
+/// State of the connection to a peer.
 #[derive(Debug, Clone)]
 enum Connection {
     Open(PeerClient),
-    /// A connection failed; none is tried again for a while.
+    /// The last attempt to connect failed; the next is made at `until` or later.
     Failed {
         until: Instant,
     },
 }
 
 impl Peers {
-    /// Asks the peer at an address for a permit.
+    /// Requests a permit from the peer at an address.
     ///
     /// # Errors
     ///
@@ -51,63 +51,65 @@
     pub async fn request_permit(
         &self,
         address: &str,
-        ask: WirePermitRequest,
+        request: WirePermitRequest,
     ) -> Result<WirePermitAnswer> {
-        let context = context_for(ask.due_in_ms + ASK_GRACE_MS);
+        let context = context_for(request.due_in_ms + PERMIT_GRACE_MS);
         let client = self.client(address).await?;
-        self.settle(address, client.ask(context, ask).await)
+        self.settle(address, client.ask(context, request).await)
     }
 
     /// Gives a permit back to the peer at an address.
     ///
     /// # Errors
     ///
-    /// Fails if the peer cannot be reached.
+    /// Fails if the peer cannot be reached or does not answer.
     pub async fn release(&self, address: &str, endpoint: &str, ticket: u64) -> Result<()> {
-        let context = context_for(QUESTION_TIMEOUT_MS);
+        let context = context_for(CALL_TIMEOUT_MS);
         let client = self.client(address).await?;
         self.settle(address, client.release(context, endpoint.to_owned(), ticket).await)
     }
 
-    /// Asks the peer at an address whether it owns an endpoint.
+    /// Asks the peer at an address whether it owns an endpoint, or will own it as soon as it can.
     ///
     /// # Errors
     ///
-    /// Fails if the peer does not answer.
+    /// Fails if the peer cannot be reached or does not answer.
     pub async fn owns(&self, address: &str, endpoint: &str) -> Result<bool> {
-        let context = context_for(QUESTION_TIMEOUT_MS);
+        let context = context_for(CALL_TIMEOUT_MS);
         let client = self.client(address).await?;
         self.settle(address, client.owns(context, endpoint.to_owned()).await)
     }
 
-    /// Tells the peer at an address that the row of an endpoint has changed.
+    /// Reports to the peer at an address that the row of an endpoint has changed.
     ///
     /// # Errors
     ///
-    /// Fails if the peer cannot be reached.
+    /// Fails if the peer cannot be reached or does not answer.
     pub async fn row_changed(&self, address: &str, endpoint: &str) -> Result<()> {
-        let context = context_for(QUESTION_TIMEOUT_MS);
+        let context = context_for(CALL_TIMEOUT_MS);
         let client = self.client(address).await?;
         self.settle(address, client.row_changed(context, endpoint.to_owned()).await)
     }
 
-    /// Asks the peer at an address for the members of its own failure domain.
+    /// Asks the peer at an address for the members of its own failure domain; returns `None` if the
+    /// peer has not read them.
     ///
     /// # Errors
     ///
-    /// Fails if the peer does not answer.
+    /// Fails if the peer cannot be reached or does not answer.
     pub async fn members(&self, address: &str) -> Result<Option<MembershipRow>> {
-        let context = context_for(QUESTION_TIMEOUT_MS);
+        let context = context_for(CALL_TIMEOUT_MS);
         let client = self.client(address).await?;
         let members = self.settle(address, client.members(context).await)?;
         Ok(members.map(MembershipRow::from))
     }
 
-    /// Asks the peer at an address for a configuration newer than the version.
+    /// Asks the peer at an address for a configuration newer than the version; returns `None` if the
+    /// peer has none.
     ///
     /// # Errors
     ///
-    /// Fails if the peer does not answer.
+    /// Fails if the peer cannot be reached or does not answer.
     pub async fn config_after(&self, address: &str, version: u64) -> Result<Option<WireConfig>> {
         let context = context_for(CONFIG_TIMEOUT_MS);
         let client = self.client(address).await?;
@@ -133,7 +135,8 @@
         connected
     }
 
-    /// Drops a connection that did not yield an answer, so that the next call opens a new one.
+    /// Returns the answer of a peer. If there is none, the connection is dropped, so that the next call
+    /// opens a new one.
     fn settle<T>(
         &self,
         address: &str,
@@ -164,7 +167,7 @@
     let client::NewClient { client, dispatch } =
         PeerClient::new(client::Config::default(), transport);
     let dispatch = async {
-        // An error here ends every pending call, and each of them reports it.
+        // An error here makes each pending call fail, and each of them returns an error.
         let _ = dispatch.await;
     };
     smol::spawn(Compat::new(dispatch)).detach();
--- a/crates/trestle-client/src/platform.rs
+++ b/crates/trestle-client/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: table, object store and list of VMs.
+//! Client of the platform: its table, object store and list of VMs.
 
 use crate::{
     error::{ContentSnafu, Result},
@@ -16,12 +16,12 @@
 };
 use trillium_client::Client;
 
-/// Time after which the platform counts as not answering.
+/// Time limit for an answer of the table and the list of VMs.
 const TIMEOUT_MS: u64 = 1_500;
-/// Time for reading or writing a whole object.
+/// Time limit for reading or writing a whole object.
 const OBJECT_TIMEOUT_MS: u64 = 5_000;
 
-/// The platform: table, object store and list of VMs.
+/// Client of the platform's table, object store and list of VMs.
 #[derive(Debug, Clone)]
 pub struct Platform {
     client: Client,
@@ -29,16 +29,16 @@
 }
 
 impl Platform {
-    /// The platform at an address, as `http://ip:port`.
+    /// Creates a client of the platform at a URL, such as `http://ip:port`.
     pub fn new(url: &str) -> Self {
         Self { client: http::pooled_client(), url: url.trim_end_matches('/').to_owned() }
     }
 
-    /// Reads rows that decisions are about.
+    /// Reads rows and parses them.
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not answer, or a row is not understood.
+    /// Fails if the platform does not answer, or if a row cannot be parsed.
     pub async fn read(&self, keys: &[RowKey]) -> Result<Rows> {
         let keys = keys.iter().map(key_to_string).collect();
         let response = self.read_raw(keys).await?;
@@ -46,7 +46,7 @@
         Ok(CoreRows::try_from(response).context(ContentSnafu { url })?.0)
     }
 
-    /// Reads any rows.
+    /// Reads rows in their stored form, of any kind.
     ///
     /// # Errors
     ///
@@ -56,12 +56,13 @@
         http::post_json(&self.client, &url, &ReadRequest { keys }, TIMEOUT_MS).await
     }
 
-    /// Commits a transaction.
+    /// Commits a transaction; the outcome is `Unknown` if no valid answer arrives in time.
     pub async fn commit(&self, txn: &Txn) -> CommitOutcome {
         self.commit_raw(&CommitRequest::from(txn)).await.0
     }
 
-    /// Commits any writes; also names the rows that stood against it.
+    /// Commits writes of rows of any kind. Returns the outcome, and the keys of the rows that conflict
+    /// with the request; the outcome is `Unknown` if no valid answer arrives in time.
     pub async fn commit_raw(&self, request: &CommitRequest) -> (CommitOutcome, Vec<String>) {
         let url = format!("{}/table/commit", self.url);
         let answer = http::post_json(&self.client, &url, request, TIMEOUT_MS).await;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Reads an object.
+    /// Reads an object of the object store.
     ///
     /// # Errors
     ///
@@ -85,11 +86,11 @@
         Ok(body)
     }
 
-    /// Writes an object.
+    /// Writes an object to the object store.
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not say that it was written.
+    /// Fails if the platform does not confirm the write; the object may have been written all the same.
     pub async fn put_object(&self, name: &str, content: &[u8]) -> Result<()> {
         let url = format!("{}/objects/{name}", self.url);
         let conn = self.client.put(url.as_str()).with_body(content.to_vec());
@@ -97,11 +98,11 @@
         http::success(&url, status)
     }
 
-    /// Reads the list of VMs.
+    /// Reads the states of the VMs, by name.
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not answer.
+    /// Fails if the platform does not answer, or if the list cannot be parsed.
     pub async fn vms(&self) -> Result<BTreeMap<String, VmState>> {
         let url = format!("{}/vms", self.url);
         let list: VmList = http::get_json(&self.client, &url, TIMEOUT_MS).await?;
--- a/crates/trestle-config/src/check.rs
+++ b/crates/trestle-config/src/check.rs
@@ -1,4 +1,4 @@
-//! Contradictions within a configuration file.
+//! Checks of the values in a configuration file.
 
 use crate::{
     file::{ConfigFile, ModelEntry, ServiceEntry, TenantEntry},
@@ -6,7 +6,7 @@
 };
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// One contradiction, with the path of keys that leads to it.
+/// Value that is not valid or contradicts another one, with the path of keys that leads to it.
 pub(crate) struct Finding {
     pub(crate) path: Vec<String>,
     pub(crate) message: String,
@@ -16,7 +16,7 @@
 const MAX_OFFSET_MINUTES: i32 = 14 * 60;
 const MAX_LOAD_MS: u64 = 3_600_000;
 
-/// Everything in the file that contradicts itself.
+/// Returns all findings in the file.
 pub(crate) fn findings(file: &ConfigFile) -> Vec<Finding> {
     let mut found = Findings(Vec::new());
     check_names(file, &mut found);
@@ -121,7 +121,7 @@
         found.check(!engine.domain.is_empty(), &["engines", name, "domain"], "must not be empty");
         found.check(engine.slots > 0, &["engines", name, "slots"], "must be at least 1");
         if let Some(other) = urls.insert(&engine.url, name) {
-            let message = format!("engine `{other}` has the same url; an engine is declared once");
+            let message = format!("engine `{other}` has the same url; declare each engine once");
             found.add(&["engines", name, "url"], message);
         }
     }
@@ -132,7 +132,8 @@
     let path = ["models", name, "memory_bytes"];
     found.check(model.memory_bytes > 0, &path, "must be at least 1");
     if model.memory_bytes > largest {
-        found.add(&path, format!("no engine has that much memory; the largest has {largest}"));
+        found
+            .add(&path, format!("no engine has that much memory; the largest has {largest} bytes"));
     }
     let path = ["models", name, "max_replicas"];
     found.check(model.max_replicas > 0, &path, "must be at least 1");
@@ -153,7 +154,7 @@
                 format!("model `{}` is not declared; add it under `models`", adapter.base);
             found.add(&["adapters", name, "base"], message);
         }
-        let message = "a model has the same name; callers could not tell them apart";
+        let message = "a model has the same name; rename one, so that callers can tell them apart";
         found.check(!file.models.contains_key(name), &["adapters", name], message);
     }
 }
@@ -166,10 +167,10 @@
     }
     let is_method = |method: &String| method.chars().all(|c| c.is_ascii_uppercase());
     let path = ["services", name, "repeatable_methods"];
-    let message = "write HTTP methods in capitals, as `GET`";
+    let message = "must be HTTP methods in capitals, such as `GET`";
     found.check(service.repeatable_methods.iter().all(is_method), &path, message);
     let path = ["services", name, "idempotency_header"];
-    found.check(is_name(&service.idempotency_header), &path, "must be the name of a header");
+    found.check(is_name(&service.idempotency_header), &path, "must be the name of an HTTP header");
     found.check(service.slots > 0, &["services", name, "slots"], "must be at least 1");
 }
 
--- a/crates/trestle-config/src/config.rs
+++ b/crates/trestle-config/src/config.rs
@@ -1,4 +1,4 @@
-//! A configuration that was checked.
+//! Configuration after its check.
 
 use crate::{
     file::{
@@ -12,87 +12,88 @@
     names::{DomainName, EndpointName, ModelName, TeamName},
 };
 
-/// A configuration that was checked.
+/// Configuration that was checked.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct Config {
     /// Models and engines.
     pub catalog: Catalog,
-    /// Where each engine is reached, as `http://ip:port`.
+    /// URL of each engine, such as `http://ip:port`.
     pub engine_urls: BTreeMap<EndpointName, String>,
-    /// Difference of the operators' clocks to UTC.
+    /// Offset of the operators' local time from UTC, in minutes.
     pub utc_offset_minutes: i32,
-    /// Classes of requests.
+    /// Classes of requests, by name.
     pub classes: BTreeMap<String, Class>,
-    /// Tenants.
+    /// Tenants, by name.
     pub tenants: BTreeMap<TeamName, Tenant>,
-    /// The tenant of each token, by its digest.
+    /// Tenant of each token, by the token's SHA-256 in lowercase hexadecimal.
     pub tokens: BTreeMap<String, TeamName>,
-    /// Adapters.
+    /// Adapters, by name.
     pub adapters: BTreeMap<String, Adapter>,
-    /// Plain services.
+    /// Plain services, by name.
     pub services: BTreeMap<String, Service>,
 }
 
-/// A class of requests.
+/// Class of requests.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub struct Class {
-    /// 0 for the most urgent.
+    /// Urgency of the class; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer is due, where a request names none.
+    /// Time until the whole answer is due if a request names no deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A tenant.
+/// Tenant: a group of callers with limits of its own.
 #[trestle_macros::plain]
 pub struct Tenant {
-    /// Classes its callers may name; the first where they name none.
+    /// Classes that the tenant's callers may name; the first applies if they name none.
     pub classes: Vec<String>,
-    /// Requests of its callers that one daemon handles at once.
+    /// Maximum number of the tenant's requests that one daemon handles at once.
     pub max_concurrent: usize,
 }
 
-/// An adapter of a model.
+/// Adapter of a model.
 #[trestle_macros::plain]
 pub struct Adapter {
-    /// The model it adapts.
+    /// Name of the model that the adapter belongs to.
     pub base: ModelName,
 }
 
-/// A plain service.
+/// Plain service.
 #[trestle_macros::plain]
 pub struct Service {
-    /// Its servers.
+    /// Servers of the service, by name.
     pub endpoints: BTreeMap<EndpointName, ServiceEndpoint>,
-    /// HTTP methods of calls that may be repeated.
+    /// HTTP methods of calls that may run twice.
     pub repeatable_methods: Vec<String>,
-    /// The header that carries the idempotency key of a call that may not.
+    /// Name of the header that holds the idempotency key of a call that must not run twice.
     pub idempotency_header: String,
-    /// Calls that run at one server at once.
+    /// Maximum number of calls that run at one server at once.
     pub slots: usize,
 }
 
-/// A server of a plain service.
+/// Server of a plain service.
 #[trestle_macros::plain]
 pub struct ServiceEndpoint {
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: DomainName,
-    /// Where it is reached, as `http://ip:port`.
+    /// URL of the server, such as `http://ip:port`.
     pub url: String,
 }
 
-/// What a caller's `model` names.
+/// Model and adapter that a caller's `model` field names.
 #[trestle_macros::plain]
 pub struct Target {
-    /// The model that has to be loaded.
+    /// Model that has to be loaded.
     pub model: ModelName,
-    /// The adapter to apply to it.
+    /// Adapter to apply to the model; `None` if the caller named the model itself.
     pub adapter: Option<String>,
 }
 
 impl Config {
-    /// What a caller's `model` names, a model or an adapter.
+    /// Returns what the name in a caller's `model` field stands for, a model or an adapter; `None` if
+    /// there is neither.
     pub fn target(&self, name: &str) -> Option<Target> {
         if let Some(adapter) = self.adapters.get(name) {
             return Some(Target { model: adapter.base.clone(), adapter: Some(name.to_owned()) });
@@ -101,7 +102,8 @@
         Some(Target { model: model.clone(), adapter: None })
     }
 
-    /// The configuration at a version, after the one that was in force before.
+    /// Returns the configuration with its version set; `before` is the configuration that was in force
+    /// until now.
     #[must_use]
     pub fn at_version(mut self, version: u64, before: &Self) -> Self {
         self.catalog = self.catalog.at_version(version, &before.catalog);
--- a/crates/trestle-config/src/entry_settings.rs
+++ b/crates/trestle-config/src/entry_settings.rs
@@ -1,104 +1,109 @@
-//! Settings of a daemon whose state lies in an outside store.
+//! Settings of a daemon whose state is in an outside store.
 
 use crate::{settings::LogSettings, whole};
 use std::net::{IpAddr, SocketAddr};
 
-/// Settings of a daemon whose state lies in an outside store.
+/// Settings of a daemon whose state is in an outside store.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// The name of the VM.
+    /// Name of the VM.
     pub vm: String,
-    /// The VM's address, where other daemons reach it.
+    /// IP address at which other daemons reach the VM.
     pub address: IpAddr,
-    /// The VM's failure domain.
+    /// Failure domain of the VM.
     pub domain: String,
     /// All failure domains that have VMs or endpoints.
     #[serde(default)]
     pub domains: Vec<String>,
-    /// Processor of the VM, as a share of one core. Of several VMs the strongest should lead.
+    /// Processor of the VM, as a multiple of one core; 1 by default. The VM with the strongest
+    /// processor should lead.
     #[serde(default = "one_core")]
     pub processor_cores: f64,
-    /// Where callers reach the daemon.
+    /// Address at which the daemon serves callers.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks whether the daemon is ready.
+    /// Address at which the load balancer queries whether the daemon is ready.
     pub readiness_address: SocketAddr,
-    /// Where other daemons reach it, at its own address.
+    /// Port at `address` on which the daemon serves other daemons.
     pub peers_port: u16,
-    /// Where metrics are served, at its own address.
+    /// Port at `address` on which the daemon serves its metrics.
     pub metrics_port: u16,
-    /// Where the store is reached.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// What the operators have agreed with their users.
+    /// Bounds that the operators have agreed with their users.
     pub bounds: Bounds,
-    /// Logs.
+    /// Format and amount of log output.
     #[serde(default)]
     pub log: LogSettings,
-    /// Mechanisms of deciding that are left out, to measure what they are worth.
+    /// Names of decision mechanisms that are switched off, to measure their effect.
     #[serde(default)]
     pub without: Vec<String>,
 }
 
-/// What the operators have agreed with their users.
+/// Bounds that the operators have agreed with their users.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Between the news that an endpoint is leaving and the last request to it.
+    /// Longest time between an endpoint's announcement that it is draining and the last request to it,
+    /// in milliseconds.
     #[serde(deserialize_with = "whole::below")]
     pub leaving_ms: u64,
-    /// Between the acceptance of a configuration and its being in force.
+    /// Longest time between the acceptance of a configuration and its being in force at all daemons, in
+    /// milliseconds.
     #[serde(deserialize_with = "whole::below")]
     pub config_ms: u64,
-    /// For a planned stop.
+    /// Longest time that a planned stop takes, in seconds.
     #[serde(deserialize_with = "whole::below")]
     pub stop_s: u64,
-    /// Between orders of two VMs to the same engine.
+    /// Shortest time between orders of two VMs to the same engine, in milliseconds.
     #[serde(deserialize_with = "whole::above")]
     pub order_quiet_ms: u64,
-    /// Further sends a request, of all daemons together.
+    /// Retries per request, over all daemons together.
     pub retry_ratio: f64,
-    /// The window over which further sends are counted.
+    /// Window over which retries are counted, in seconds.
     #[serde(deserialize_with = "whole::above")]
     pub retry_window_s: u64,
-    /// Further sends beyond the ratio in a window.
+    /// Retries in a window that are allowed in addition to the ratio.
     #[serde(deserialize_with = "whole::below")]
     pub retry_fixed: u32,
-    /// Between the acceptance of a configuration that takes a team's key away and the last
-    /// request with it, also at VMs that are cut off; none where nothing is agreed on.
+    /// Longest time between the acceptance of a configuration that removes a team's key and the last
+    /// request that is served with the key, in milliseconds; it also holds at VMs that are disconnected
+    /// from the store. `None` if no bound is agreed on.
     #[serde(default, deserialize_with = "whole::below_if_given")]
     pub key_withdrawal_ms: Option<u64>,
-    /// How far teams may exceed their limits; none where nothing is agreed on.
+    /// Bounds on how far teams may exceed their limits; `None` if none are agreed on.
     #[serde(default)]
     pub quota: Option<QuotaSettings>,
 }
 
-/// How far the requests of a team that all VMs pass on may exceed its limit.
+/// Bounds on how far the requests of a team, over all VMs together, may exceed its limit.
 #[trestle_macros::wire]
 #[derive(Copy)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSettings {
-    /// The window over which requests are counted.
+    /// Window over which requests are counted, in seconds.
     pub window_s: f64,
-    /// Part of what the limit allows in a window.
+    /// Allowed excess, as a fraction of what the limit allows in a window.
     pub excess: f64,
-    /// Requests or tokens beyond that.
+    /// Requests or tokens in a window that are allowed in addition to the fraction.
     pub fixed: f64,
 }
 
 impl Bounds {
-    /// The shortest bound on what every daemon must know.
+    /// Returns the shortest of the bounds within which every daemon must know of a change, in
+    /// milliseconds.
     pub fn shortest_ms(&self) -> u64 {
         self.config_ms.min(self.leaving_ms)
     }
 }
 
 impl EntrySettings {
-    /// Processor of the VM, in thousandths of a core.
+    /// Returns the processor of the VM in thousandths of a core.
     pub fn millicores(&self) -> u32 {
         (self.processor_cores * 1e3).round() as u32
     }
 
-    /// Values that cannot work, with the path that leads to each.
+    /// Returns the values that are not valid: the path of keys and the description of each.
     pub(crate) fn findings(&self) -> Vec<(Vec<&'static str>, String)> {
         let mut found = Vec::new();
         let mut check = |holds: bool, path: &[&'static str], message: &str| {
--- a/crates/trestle-config/src/error.rs
+++ b/crates/trestle-config/src/error.rs
@@ -1,11 +1,11 @@
-//! The error of this crate.
+//! Error of this crate.
 
 use std::fmt;
 
-/// The result of reading or checking a file.
+/// Result of reading or checking a file.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Everything that is wrong with one file.
+/// All problems that were found in one file.
 #[derive(Debug)]
 pub struct Error {
     inner: Box<Inner>,
@@ -18,7 +18,7 @@
     problems: Vec<Problem>,
 }
 
-/// What kind of trouble an [`Error`] is about.
+/// Category of an [`Error`].
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub enum Category {
@@ -26,18 +26,18 @@
     Io,
     /// The text is not JSON with comments.
     Syntax,
-    /// The content is not what is expected there.
+    /// The content is not valid: a key is unknown, missing or duplicate, or a value is wrong.
     Data,
 }
 
-/// One thing that is wrong, and what to do about it.
+/// One problem of a file, and how to solve it.
 #[trestle_macros::plain]
 pub struct Problem {
-    /// Line, starting at 1; 0 where none applies.
+    /// Line, counted from 1; 0 if the problem has no place in the file.
     pub line: usize,
-    /// Column, starting at 1; 0 where none applies.
+    /// Column, counted from 1; 0 if the problem has no place in the file.
     pub column: usize,
-    /// What is wrong and what to do.
+    /// Description of the problem and of its solution.
     pub message: String,
 }
 
@@ -47,12 +47,12 @@
         Self { inner: Box::new(Inner { file: file.to_owned(), category, problems }) }
     }
 
-    /// What kind of trouble it is.
+    /// Returns the category of the error.
     pub fn classify(&self) -> Category {
         self.inner.category
     }
 
-    /// Everything that is wrong, in the order of the file.
+    /// Returns the problems; those of a configuration file are in the order of the file.
     pub fn problems(&self) -> &[Problem] {
         &self.inner.problems
     }
--- a/crates/trestle-config/src/file.rs
+++ b/crates/trestle-config/src/file.rs
@@ -1,8 +1,8 @@
-//! The operators' configuration file, as it is written.
+//! Entries of the operators' configuration file, as they are written.
 
 use std::collections::BTreeMap;
 
-/// A whole configuration file.
+/// Content of a configuration file.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ConfigFile {
@@ -12,14 +12,14 @@
     pub tenants: BTreeMap<String, TenantEntry>,
     /// Idle accelerator time that one unit of waiting for a cold model is worth.
     ///
-    /// The larger the number, the longer models are kept: it weighs tail
-    /// cold-start time against idle accelerator hours.
+    /// With a larger number, models stay loaded longer without requests: fewer requests wait for a cold
+    /// start, and accelerators are idle for more hours.
     #[serde(default = "default_idle_per_wait")]
     pub idle_per_wait: u64,
-    /// Difference of the operators' clocks to UTC.
+    /// Offset of the operators' local time from UTC, in minutes.
     #[serde(default)]
     pub utc_offset_minutes: i32,
-    /// The weight store.
+    /// Properties of the weight store.
     #[serde(default)]
     pub weight_store: WeightStoreEntry,
     /// Model engines, by name.
@@ -38,33 +38,33 @@
     60
 }
 
-/// A class of requests.
+/// Entry of a class of requests.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
-    /// 0 for the most urgent.
+    /// Urgency of the class; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer is due, where a request names none.
+    /// Time until the whole answer is due if a request names no deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A tenant.
+/// Entry of a tenant.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct TenantEntry {
-    /// SHA-256 of each token of its callers, in hexadecimal.
+    /// SHA-256 of each token of the tenant's callers, in hexadecimal.
     pub token_sha256: Vec<String>,
-    /// Classes its callers may name; the first where they name none.
+    /// Classes that the tenant's callers may name; the first applies if they name none.
     pub classes: Vec<String>,
-    /// Requests of its callers that one daemon handles at once.
+    /// Maximum number of the tenant's requests that one daemon handles at once.
     pub max_concurrent: usize,
 }
 
-/// The weight store.
+/// Entry of the weight store.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct WeightStoreEntry {
-    /// Loads that it serves at full speed at once.
+    /// Number of concurrent loads that the weight store serves at full speed.
     pub full_speed_loads: usize,
 }
 
@@ -74,19 +74,20 @@
     }
 }
 
-/// A model engine.
+/// Entry of a model engine.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct EngineEntry {
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub domain: String,
-    /// Where it is reached, as `http://ip:port`.
+    /// URL of the engine, such as `http://ip:port`.
     pub url: String,
     /// Memory for models.
     pub memory_bytes: u64,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// `checked` if it refuses old fencing numbers, `ignored` if not.
+    /// How the engine treats fencing numbers: `checked` if it refuses orders with old ones, `ignored`
+    /// if not.
     pub fencing: FencingEntry,
 }
 
@@ -95,75 +96,76 @@
 #[derive(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum FencingEntry {
-    /// Orders with an old number are refused.
+    /// The engine refuses orders with an old number.
     Checked,
-    /// Numbers are ignored.
+    /// The engine ignores the numbers.
     Ignored,
 }
 
-/// A model.
+/// Entry of a model.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ModelEntry {
-    /// Memory it takes while it is loaded, adapters included.
+    /// Memory that the model and its adapters occupy while it is loaded.
     pub memory_bytes: u64,
-    /// Replicas at most.
+    /// Maximum number of replicas.
     pub max_replicas: usize,
-    /// Time a load takes on average.
+    /// Average time of a load, in milliseconds.
     pub load_ms: u64,
-    /// Time a request takes on average.
+    /// Average time of a request, in milliseconds.
     pub service_ms: u64,
-    /// Time without a request after which it is unloaded, until its gaps are known.
+    /// Time without a request after which the model is unloaded, in milliseconds. It applies until
+    /// enough gaps between the model's requests are known.
     pub keep_ms: u64,
-    /// Times at which it is expected to be needed, and kept loaded.
+    /// Recurring times at which the model is expected to be needed and kept loaded.
     #[serde(default)]
     pub windows: Vec<WindowEntry>,
 }
 
-/// A time that comes again.
+/// Entry of a recurring time window.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct WindowEntry {
-    /// Days of the week, as `mon`; all where none is named.
+    /// Days of the week, such as `mon`; empty for all days.
     #[serde(default)]
     pub weekdays: Vec<String>,
-    /// Months, 1 to 12; all where none is named.
+    /// Months, from 1 to 12; empty for all months.
     #[serde(default)]
     pub months: Vec<u8>,
-    /// When it opens, as `06:30`.
+    /// Time of day at which the window opens, such as `06:30`.
     pub from: String,
-    /// When it closes, as `09:30`, or `24:00`.
+    /// Time of day at which the window closes, such as `09:30` or `24:00`.
     pub to: String,
 }
 
-/// An adapter of a model.
+/// Entry of an adapter.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct AdapterEntry {
-    /// The model it adapts.
+    /// Name of the model that the adapter belongs to.
     pub base: String,
 }
 
-/// A plain service.
+/// Entry of a plain service.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Its servers, by name.
+    /// Servers of the service, by name.
     pub endpoints: BTreeMap<String, ServiceEndpointEntry>,
-    /// HTTP methods of calls that may be repeated.
+    /// HTTP methods of calls that may run twice.
     pub repeatable_methods: Vec<String>,
-    /// The header that carries the idempotency key of a call that may not.
+    /// Name of the header that holds the idempotency key of a call that must not run twice.
     pub idempotency_header: String,
-    /// Calls that run at one server at once.
+    /// Maximum number of calls that run at one server at once.
     pub slots: usize,
 }
 
-/// A server of a plain service.
+/// Entry of a server of a plain service.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEndpointEntry {
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: String,
-    /// Where it is reached, as `http://ip:port`.
+    /// URL of the server, such as `http://ip:port`.
     pub url: String,
 }
--- a/crates/trestle-config/src/lib.rs
+++ b/crates/trestle-config/src/lib.rs
@@ -1,12 +1,10 @@
-//! Settings of a process, and the operators' configuration file.
+//! Settings of a daemon, and the operators' configuration file.
 //!
-//! Both are JSON with comments. A file is checked as a whole: keys that are not
-//! known or stand twice are refused, and every problem names its line and
-//! column and says what to do.
+//! Both are JSON with comments. A file with unknown or duplicate keys is rejected. Each problem
+//! names its line and column and says how to solve it.
 //!
-//! - [`from_str`] reads and checks a configuration file.
-//! - [`settings::Settings`] is what a daemon needs to start; [`read_settings`]
-//!   reads it from a file.
+//! - [`from_str`] parses and checks a configuration file.
+//! - [`read_settings`] reads and checks the settings that a daemon starts with.
 //! - [`Config`] is a configuration that was checked.
 //!
 //! # Examples
--- a/crates/trestle-config/src/locate.rs
+++ b/crates/trestle-config/src/locate.rs
@@ -1,4 +1,4 @@
-//! Places in a JSON text with comments.
+//! Lines and columns of keys and values in JSON with comments.
 
 use crate::error::Problem;
 use jsonc_parser::{
@@ -9,16 +9,16 @@
 };
 use std::collections::BTreeSet;
 
-/// A problem at the value or key that the path leads to.
+/// Creates a problem with the line and column of the key that a path of keys leads to.
 ///
-/// A path that leads nowhere yields the place of the last part that exists.
+/// If the path does not exist in the text, the place of its last existing key is used.
 pub(crate) fn problem_at(text: &str, path: &[&str], message: String) -> Problem {
     let offset = offset_of(text, path).unwrap_or(0);
     let (line, column) = line_and_column(text, offset);
     Problem { line, column, message }
 }
 
-/// A problem for each key that stands twice in one object.
+/// Returns a problem for each key that occurs more than once in one object.
 pub(crate) fn duplicate_keys(text: &str) -> Vec<Problem> {
     let mut problems = Vec::new();
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
--- a/crates/trestle-config/src/read.rs
+++ b/crates/trestle-config/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading files of JSON with comments.
+//! Reads and checks files of JSON with comments.
 
 use crate::{
     check,
@@ -14,12 +14,12 @@
 use sha2::{Digest, Sha256};
 use std::{collections::BTreeMap, fs, path::Path};
 
-/// Reads and checks a configuration; `file` names it in errors.
+/// Parses and checks a configuration; `file` is the name of the file in errors.
 ///
 /// # Errors
 ///
-/// Fails if the text is not JSON with comments, has keys that are not known or
-/// stand twice, or contradicts itself. All contradictions are told at once.
+/// Fails if the text is not JSON with comments, has unknown or duplicate keys, or has values that
+/// are not valid or contradict each other. All such values are reported at once.
 pub fn from_str(text: &str, file: &str) -> Result<Config> {
     let content: ConfigFile = read_jsonc(text, file)?;
     let findings = check::findings(&content);
@@ -38,23 +38,25 @@
     Err(Error::new(file, Category::Data, problems))
 }
 
-/// The settings of a daemon, of either kind.
+/// Settings of a daemon, of either kind.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SettingsFile {
-    /// For a daemon before engines that answer to this project's own interface.
+    /// Settings of a daemon whose state is on the platform and whose engines have this project's own
+    /// interface.
     Platform(Settings),
-    /// For a daemon whose state lies in an outside store.
+    /// Settings of a daemon whose state is in an outside store.
     Entry(EntrySettings),
 }
 
-/// The key that tells the two kinds of settings from each other.
+/// Key that only the settings of a daemon with an outside store have.
 const STORE_KEY: &str = "store_address";
 
-/// Reads the settings of a process.
+/// Reads and checks the settings of a daemon.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read or is not what a process needs.
+/// Fails if the file cannot be read, is not JSON with comments, has unknown or duplicate keys, or
+/// has values that are not valid.
 pub fn read_settings(path: &Path) -> Result<SettingsFile> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| {
@@ -64,16 +66,20 @@
     let keys: BTreeMap<String, serde_json::Value> = read_jsonc(&text, &file)?;
     if keys.contains_key(STORE_KEY) {
         let settings: EntrySettings = read_jsonc(&text, &file)?;
-        refuse(&text, &file, settings.findings())?;
+        reject_findings(&text, &file, settings.findings())?;
         return Ok(SettingsFile::Entry(settings));
     }
     let settings: Settings = read_jsonc(&text, &file)?;
-    refuse(&text, &file, settings.findings())?;
+    reject_findings(&text, &file, settings.findings())?;
     Ok(SettingsFile::Platform(settings))
 }
 
-/// Fails with everything that was found wrong, each with its place.
-fn refuse(text: &str, file: &str, findings: Vec<(Vec<&'static str>, String)>) -> Result<()> {
+/// Returns an error with the place of each finding, or `Ok` if there is none.
+fn reject_findings(
+    text: &str,
+    file: &str,
+    findings: Vec<(Vec<&'static str>, String)>,
+) -> Result<()> {
     let problems: Vec<Problem> = findings
         .into_iter()
         .map(|(path, message)| {
@@ -87,18 +93,18 @@
     }
 }
 
-/// Reads any type from JSON with comments.
+/// Parses a value of any type from JSON with comments; `file` is the name of the file in errors.
 ///
 /// # Errors
 ///
-/// Fails if the text is not JSON with comments, a key stands twice, or the
-/// content does not fit the type.
+/// Fails if the text is not JSON with comments, if an object has duplicate keys, or if the content
+/// does not match the type.
 pub fn read_jsonc<T: DeserializeOwned>(text: &str, file: &str) -> Result<T> {
     let stripped = StripComments::new(text.as_bytes());
     let content = serde_json::from_reader(stripped).map_err(|error| {
         let category = if error.is_data() { Category::Data } else { Category::Syntax };
         let (line, column) = (error.line(), error.column());
-        let message = advice(&error);
+        let message = message_of(&error);
         Error::new(file, category, vec![Problem { line, column, message }])
     })?;
     let duplicates = locate::duplicate_keys(text);
@@ -109,12 +115,14 @@
     }
 }
 
-/// The SHA-256 of a secret, in hexadecimal, as the configuration holds it.
+/// Returns the SHA-256 of a secret in hexadecimal, which the configuration has in place of the
+/// secret.
 pub fn digest(secret: &str) -> String {
     hex::encode(Sha256::digest(secret.as_bytes()))
 }
 
-fn advice(error: &serde_json::Error) -> String {
+/// Returns the error's text without its line and column; for syntax errors, with advice.
+fn message_of(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let what = text.rsplit_once(" at line ").map_or(text.as_str(), |(what, _)| what);
     if error.is_syntax() || error.is_eof() {
--- a/crates/trestle-config/src/settings.rs
+++ b/crates/trestle-config/src/settings.rs
@@ -1,103 +1,106 @@
-//! Settings of a daemon.
+//! Settings of a daemon whose state is on the platform, and settings of log output.
 
 use std::{net::SocketAddr, num::NonZeroU32};
 
-/// Lines of log a second where the settings do not say: some 200 kB, and ten times what a
-/// daemon writes at the size of two years from now (16 requests a second).
+/// Default limit of log lines per second. These are some 200 kB, and ten times what a daemon writes
+/// at the planned load of 16 requests per second.
 const DEFAULT_LINES_PER_S: NonZeroU32 = NonZeroU32::new(500).expect("it is above 0");
 
-/// Settings of a daemon.
+/// Settings of a daemon whose state is on the platform.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of the VM, as the platform lists it.
+    /// Name of the VM, as the platform lists it.
     pub vm: String,
-    /// The VM's failure domain.
+    /// Failure domain of the VM.
     pub domain: String,
-    /// Where callers reach the daemon.
+    /// Address at which the daemon serves callers.
     pub callers_address: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address at which the daemon serves other daemons.
     pub peers_address: SocketAddr,
-    /// Where operators and the balancer reach it.
+    /// Address at which the daemon serves operators and the load balancer.
     pub admin_address: SocketAddr,
-    /// Where the platform is reached, as `http://ip:port`.
+    /// URL of the platform, such as `http://ip:port`.
     pub platform_url: String,
-    /// SHA-256 of the token that operators send, in hexadecimal; none allows all.
+    /// SHA-256 of the token that operators send, in hexadecimal; `None` allows requests without a
+    /// token.
     #[serde(default)]
     pub admin_token_sha256: Option<String>,
-    /// Limits towards callers.
+    /// Limits on the requests of callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Intervals of control.
+    /// Times that control depends on.
     #[serde(default)]
     pub intervals: Intervals,
-    /// Logs.
+    /// Format and amount of log output.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Limits towards callers.
+/// Limits on the requests of callers.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Size of a request's body.
+    /// Largest body of a request.
     pub body_bytes: usize,
-    /// Size of all bodies that are held at once.
+    /// Largest total size of the bodies that are held at once.
     pub all_bodies_bytes: usize,
-    /// Time in which a caller has to send a body.
+    /// Time within which a caller has to send a body, in milliseconds.
     pub body_ms: u64,
-    /// Size of the headers of a request.
+    /// Largest size of the headers of a request.
     pub header_bytes: usize,
-    /// Size of an answer that is kept for a repeated call.
+    /// Largest body of an answer that is kept in the row of its claim; larger ones are kept in the
+    /// object store.
     pub kept_answer_bytes: usize,
-    /// Longest deadline a caller may ask for.
+    /// Longest deadline that a caller may request, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Intervals of control.
+/// Times that control depends on, in milliseconds.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields, default)]
 pub struct Intervals {
-    /// Between two looks for a new configuration.
+    /// Interval of checks for a new configuration.
     pub config_poll_ms: u64,
-    /// Between two readings of the list of VMs.
+    /// Interval of reads of the list of VMs.
     pub vm_list_ms: u64,
-    /// Between two renewals of a lease.
+    /// Interval of renewals of a lease.
     pub lease_ms: u64,
-    /// Without a renewal until a lease has expired.
+    /// Time without a renewal after which a lease has expired.
     pub expiry_ms: u64,
-    /// For which an answer of an engine lets its owner give permits.
+    /// Time for which an order that the engine has accepted lets the owner grant permits.
     pub grant_ms: u64,
-    /// Between two looks at an engine without requests.
+    /// Interval of status probes at an engine without requests.
     pub look_ms: u64,
-    /// Until a VM that is no longer listed is held gone.
+    /// Time for which a VM must be missing from the platform's list to count as gone.
     pub settle_ms: u64,
-    /// That a planned stop may take.
+    /// Longest time that a planned stop takes.
     pub stop_ms: u64,
 }
 
-/// Logs.
+/// Format and amount of log output.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// `text` or `json`.
+    /// Format of log lines: `text` or `json`.
     pub format: LogFormat,
-    /// Which messages to write, as `info` or `trestled=debug`.
+    /// Filter of the messages that are written, such as `info` or `trestled=debug`.
     pub filter: String,
-    /// Lines a second; twice as many may come at once. What is beyond is dropped and counted.
+    /// Maximum number of lines per second, with bursts of twice as many. Further lines are dropped and
+    /// counted.
     pub lines_per_s: NonZeroU32,
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[trestle_macros::wire]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     Text,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
@@ -141,7 +144,7 @@
 }
 
 impl Settings {
-    /// Values that cannot work, with the path that leads to each.
+    /// Returns the values that are not valid: the path of keys and the description of each.
     pub(crate) fn findings(&self) -> Vec<(Vec<&'static str>, String)> {
         let mut found = Vec::new();
         let mut check = |holds: bool, path: &[&'static str], message: &str| {
@@ -152,7 +155,7 @@
         check(!self.vm.is_empty(), &["vm"], "must not be empty");
         check(!self.domain.is_empty(), &["domain"], "must not be empty");
         let is_url = self.platform_url.starts_with("http://");
-        check(is_url, &["platform_url"], "must be `http://ip:port`");
+        check(is_url, &["platform_url"], "must be a URL such as `http://ip:port`");
         check(self.limits.connections > 0, &["limits", "connections"], "must be at least 1");
         let is_slower = self.intervals.expiry_ms >= 3 * self.intervals.lease_ms;
         let message = "must be at least three times `lease_ms`, or live members are expelled";
--- a/crates/trestle-config/src/whole.rs
+++ b/crates/trestle-config/src/whole.rs
@@ -1,14 +1,15 @@
-//! Numbers that are whole here and may have a fraction in a file.
+//! Integers that may be written with a fraction in a file.
 //!
-//! Whoever fills a file in may have worked a bound out. A daemon that ended on one with a
-//! fraction would end on every VM at once, so it goes by the whole number that keeps the bound.
+//! An operator may write the result of a calculation as a bound. If daemons rejected a fraction and
+//! terminated, they would do so on every VM at once. Therefore bounds are rounded so that they are
+//! still kept: upper bounds down, lower bounds up.
 
 use serde::{Deserialize, Deserializer, de};
 
-/// The largest number of which each smaller one is exact in a file.
-const MOST: f64 = (1_u64 << 53) as f64;
+/// Upper bound of the integers that `f64` represents exactly.
+const MAX_EXACT: f64 = (1_u64 << 53) as f64;
 
-/// Reads an upper bound: the next whole number below.
+/// Deserializes an upper bound, rounded down.
 pub(crate) fn below<'de, D, T>(input: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -17,7 +18,8 @@
     whole(f64::deserialize(input)?.floor())
 }
 
-/// The same of one that may be left out, which the field's default stands for then.
+/// Deserializes an upper bound, rounded down; `None` for `null`. A field that may be left out also
+/// needs `#[serde(default)]`.
 pub(crate) fn below_if_given<'de, D, T>(input: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -26,7 +28,7 @@
     Option::<f64>::deserialize(input)?.map(|number| whole(number.floor())).transpose()
 }
 
-/// Reads a lower bound: the next whole number above.
+/// Deserializes a lower bound, rounded up.
 pub(crate) fn above<'de, D, T>(input: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -36,7 +38,7 @@
 }
 
 fn whole<T: TryFrom<u64>, E: de::Error>(number: f64) -> Result<T, E> {
-    let is_exact = (0.0..MOST).contains(&number);
-    let known = is_exact.then(|| T::try_from(number as u64).ok()).flatten();
-    known.ok_or_else(|| E::custom(format!("`{number}` is negative or too large")))
+    let is_exact = (0.0..MAX_EXACT).contains(&number);
+    let converted = is_exact.then(|| T::try_from(number as u64).ok()).flatten();
+    converted.ok_or_else(|| E::custom(format!("`{number}` is negative or too large")))
 }
--- a/crates/trestle-config/src/window.rs
+++ b/crates/trestle-config/src/window.rs
@@ -1,4 +1,4 @@
-//! Reading windows.
+//! Parses the time windows of models.
 
 use crate::file::WindowEntry;
 use trestle_core::window::Window;
@@ -8,7 +8,11 @@
 const ALL_MONTHS: u16 = 0xfff;
 const MINUTES_A_DAY: u16 = 24 * 60;
 
-/// The window that an entry stands for, or what is wrong with it.
+/// Parses a window.
+///
+/// # Errors
+///
+/// Returns the description of the problem if the entry is not valid.
 pub(crate) fn parse(entry: &WindowEntry) -> Result<Window, String> {
     let from_minute = minute(&entry.from)?;
     let to_minute = minute(&entry.to)?;
--- a/crates/trestle-config/tests/files.rs
+++ b/crates/trestle-config/tests/files.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file is told with its place.
+//! Reads configuration and settings files. Errors must name the line and column of each problem.
 
 use std::{env, fs, path::Path, process};
 use trestle_config::{Category, SettingsFile, from_str, read_settings};
@@ -6,17 +6,17 @@
 const FLEET: &str = include_str!("../../../examples/fleet.jsonc");
 const HERBARIUM: &str = include_str!("../../../examples/herbarium.jsonc");
 
-macro_rules! wrong_files {
+macro_rules! invalid_files {
     ($($name:ident: $from:literal => $to:literal, $category:ident, $message:literal;)+) => {
         $(
             #[test]
             fn $name() {
                 let text = FLEET.replacen($from, $to, 1);
-                assert_ne!(text, FLEET, "nothing was changed");
+                assert_ne!(text, FLEET, "the text to replace is not in the example");
                 let error = from_str(&text, "fleet.jsonc").unwrap_err();
                 assert_eq!(error.classify(), Category::$category, "{error}");
                 let problem = &error.problems()[0];
-                let line = 1 + text[..place(&text, $to)].matches('\n').count();
+                let line = 1 + text[..offset_of(&text, $to)].matches('\n').count();
                 assert_eq!(problem.line, line, "{error}");
                 assert!(problem.column > 0, "{error}");
                 assert!(error.to_string().contains($message), "{error}");
@@ -25,24 +25,24 @@
     };
 }
 
-fn place(text: &str, changed: &str) -> usize {
-    text.rfind(changed).expect("the change is there")
+fn offset_of(text: &str, replacement: &str) -> usize {
+    text.rfind(replacement).expect("the replacement is in the text")
 }
 
-wrong_files! {
+invalid_files! {
     unknown_key: "\"urgency\": 0" => "\"urgence\": 0", Data, "unknown field `urgence`";
     wrong_type: "\"urgency\": 0" => "\"urgency\": \"0\"", Data, "invalid type: string";
     trailing_comma: "\"deadline_ms\": 300000}" => "\"deadline_ms\": 300000,}", Syntax, "no trailing commas";
     duplicate_key: "\"desk\": {" => "\"curb\": {", Data, "key `curb` stands twice";
     unknown_class: "\"classes\": [\"curb\"]" => "\"classes\": [\"curbs\"]", Data, "class `curbs` is not declared";
-    no_such_base: "{\"base\": \"unlock-help-1\"}" => "{\"base\": \"unlock\"}", Data, "model `unlock` is not declared";
+    unknown_base_model: "{\"base\": \"unlock-help-1\"}" => "{\"base\": \"unlock\"}", Data, "model `unlock` is not declared";
     url_without_port: "http://127.0.0.1:9101" => "http://localhost:9101", Data, "must be `http://ip:port`";
-    endless_load: "\"load_ms\": 7500" => "\"load_ms\": 99999999", Data, "must be 1 ms to one hour";
+    too_long_load: "\"load_ms\": 7500" => "\"load_ms\": 99999999", Data, "must be 1 ms to one hour";
     short_digest: "\"token_sha256\": [\"" => "\"token_sha256\": [\"x", Data, "must be 64 hexadecimal digits";
 }
 
 #[test]
-fn examples_are_in_order_and_have_the_sizes_of_the_brief() {
+fn example_configurations_are_valid_and_have_the_expected_sizes() {
     for (text, models, adapters) in [(FLEET, 50, 55), (HERBARIUM, 50, 60)] {
         let config = from_str(text, "example").unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(config.catalog.models.len(), models);
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn windows_are_read_and_checked() {
-    let with = |window: &str| {
+fn windows_are_parsed_and_checked() {
+    let with_window = |window: &str| {
         let keep = "\"keep_ms\": 600000";
         FLEET.replacen(keep, &format!("{keep}, \"windows\": [{window}]"), 1)
     };
-    let good = with("{\"weekdays\": [\"mon\"], \"from\": \"07:00\", \"to\": \"09:30\"}");
-    let config = from_str(&good, "fleet.jsonc").unwrap_or_else(|error| panic!("{error}"));
+    let valid = with_window("{\"weekdays\": [\"mon\"], \"from\": \"07:00\", \"to\": \"09:30\"}");
+    let config = from_str(&valid, "fleet.jsonc").unwrap_or_else(|error| panic!("{error}"));
     let windows: Vec<_> = config.catalog.models.values().flat_map(|spec| &spec.windows).collect();
     assert_eq!((windows[0].from_minute, windows[0].to_minute, windows[0].weekdays), (420, 570, 1));
     for (window, message) in [
@@ -73,13 +73,13 @@
             "must be one of: mon",
         ),
     ] {
-        let error = from_str(&with(window), "fleet.jsonc").unwrap_err();
+        let error = from_str(&with_window(window), "fleet.jsonc").unwrap_err();
         assert!(error.to_string().contains(message), "{error}");
     }
 }
 
 #[test]
-fn example_settings_tell_the_two_kinds_of_daemons_from_each_other() {
+fn example_settings_are_read_as_those_of_their_kind_of_daemon() {
     let read = |name: &str| {
         let path = Path::new("../../examples").join(name);
         read_settings(&path).unwrap_or_else(|error| panic!("{error}"))
@@ -88,23 +88,25 @@
     assert!(matches!(read("entry.jsonc"), SettingsFile::Entry(_)));
 }
 
-// Wrong once: every daemon of a deployment ended at its start on a bound with a fraction.
+// Guards against a failure of all daemons of a deployment at once: each terminated at its start
+// because a bound in the settings had a fraction.
 #[test]
-fn bounds_with_fractions_are_kept_by_whole_numbers() {
-    let text = fs::read_to_string("../../examples/entry.jsonc").expect("the example is there");
-    let with = |name: &str, value: &str| {
-        let line = text.lines().find(|line| line.contains(name)).expect("a bound");
+fn bounds_with_fractions_are_rounded_so_that_they_are_kept() {
+    let text = fs::read_to_string("../../examples/entry.jsonc").expect("the example can be read");
+    let with_bound = |name: &str, value: &str| {
+        let line =
+            text.lines().find(|line| line.contains(name)).expect("the example has the bound");
         let comma = if line.trim_end().ends_with(',') { "," } else { "" };
         text.replace(line, &format!("\"{name}\": {value}{comma}"))
     };
     let read = |name: &str, value: &str| {
         let path = env::temp_dir().join(format!("trestle-bounds-{}.jsonc", process::id()));
-        fs::write(&path, with(name, value)).expect("a file can be written");
+        fs::write(&path, with_bound(name, value)).expect("the file can be written");
         let settings = read_settings(&path);
-        fs::remove_file(&path).expect("it can be removed");
+        fs::remove_file(&path).expect("the file can be removed");
         match settings {
             Ok(SettingsFile::Entry(settings)) => Ok(settings.bounds),
-            Ok(SettingsFile::Platform(_)) => panic!("it is of the other kind"),
+            Ok(SettingsFile::Platform(_)) => panic!("the settings are of the other kind of daemon"),
             Err(error) => Err(error.to_string()),
         }
     };
@@ -115,8 +117,8 @@
     assert_eq!(bounds("key_withdrawal_ms", "5000.5").key_withdrawal_ms, Some(5_000));
     assert_eq!(bounds("order_quiet_ms", "3000.5").order_quiet_ms, 3_001);
     assert_eq!(bounds("retry_window_s", "9.1").retry_window_s, 10);
-    for wrong in ["-1", "1e40", "\"10\""] {
-        let error = read("retry_fixed", wrong).expect_err("it is no bound");
+    for invalid in ["-1", "1e40", "\"10\""] {
+        let error = read("retry_fixed", invalid).expect_err("the bound is not valid");
         assert!(error.contains(".jsonc:"), "{error}");
     }
 }
--- a/crates/trestle-macros/src/lib.rs
+++ b/crates/trestle-macros/src/lib.rs
@@ -1,13 +1,13 @@
-//! Derive sets shared by the workspace.
+//! Attribute macros for the sets of derives that the workspace shares.
 //!
-//! Most types of the project want one of three sets of derives. Naming the
-//! set says what a type is for, and keeps the sets the same everywhere:
+//! Most types of the workspace use one of three sets of derives. The name of the set shows what a
+//! type is for, and the sets are the same in all crates:
 //!
 //! - `#[plain]`: a value that is compared and printed.
-//! - `#[key]`: a small value that orders and indexes others.
-//! - `#[wire]`: a message or row that leaves the process.
+//! - `#[key]`: a small value that is ordered and used as a key.
+//! - `#[wire]`: a message, row or file entry that leaves or enters the process.
 //!
-//! A `#[wire]` type needs `serde` among the dependencies of its crate.
+//! The crate of a `#[wire]` type must depend on `serde`.
 
 use proc_macro::TokenStream;
 
@@ -17,7 +17,7 @@
     with_derives("Debug, Clone, PartialEq, Eq", item)
 }
 
-/// Derives what `#[plain]` derives, and `PartialOrd` and `Ord`.
+/// Derives `Debug`, `Clone`, `PartialEq`, `Eq`, `PartialOrd` and `Ord`.
 #[proc_macro_attribute]
 pub fn key(_arguments: TokenStream, item: TokenStream) -> TokenStream {
     with_derives("Debug, Clone, PartialEq, Eq, PartialOrd, Ord", item)
