--- a/crates/trestled/src/shell.rs
+++ b/crates/trestled/src/actions.rs
@@ -12,7 +12,7 @@
 use trestle_wire::habits::{WireHabits, habits_object};
 
 /// Carries out one action, in a task of its own where it takes time.
-pub(crate) fn carry_out(daemon: &Arc<Daemon>, domain: &DomainName, action: Action) {
+pub(crate) fn execute(daemon: &Arc<Daemon>, domain: &DomainName, action: Action) {
     let daemon = Arc::clone(daemon);
     let domain = domain.clone();
     match action {
@@ -28,8 +28,8 @@
         Action::Members(row) => {
             let members = row.members.len();
             tracing::info!("member: Epoch {} of {domain} has {members} members.", row.epoch);
-            daemon.metrics.epoch(domain.as_str(), row.epoch);
-            daemon.change_routing(|routing| routing.take_members(domain, row));
+            daemon.metrics.record_epoch(domain.as_str(), row.epoch);
+            daemon.change_routing(|routing| routing.apply_members(domain, row));
         }
         Action::Ownership { endpoint, fence: Some(fence) } => {
             let (epoch, rank) = (fence.epoch(), fence.rank());
@@ -39,15 +39,15 @@
             tracing::info!("owner: Gave up {endpoint}.");
         }
         Action::FetchUsageProfiles(endpoint) => {
-            smol::spawn(fetch_habits(daemon, endpoint)).detach()
+            smol::spawn(fetch_usage_profiles(daemon, endpoint)).detach()
         }
-        Action::StoreUsageProfiles(endpoint, habits) => {
-            smol::spawn(keep_habits(daemon, endpoint, habits)).detach();
+        Action::StoreUsageProfiles(endpoint, profiles) => {
+            smol::spawn(store_usage_profiles(daemon, endpoint, profiles)).detach();
         }
         Action::Left => {
             tracing::info!("member: Left {domain}.");
             if domain.as_str() == daemon.settings.domain {
-                daemon.leave();
+                daemon.record_left();
             }
         }
         Action::Answer(..) => {}
@@ -55,10 +55,10 @@
 }
 
 async fn read(daemon: Arc<Daemon>, domain: DomainName, purpose: ReadPurpose, keys: Vec<RowKey>) {
-    daemon.metrics.table_read();
+    daemon.metrics.record_table_read();
     let rows = match daemon.platform.read(&keys).await {
         Ok(rows) => {
-            daemon.platform_answered();
+            daemon.record_platform_answer();
             Some(rows)
         }
         Err(error) => {
@@ -66,41 +66,41 @@
             None
         }
     };
-    daemon.tell_domain(domain, Event::Read(purpose, rows));
+    daemon.send_domain_event(domain, Event::Read(purpose, rows));
 }
 
 async fn commit(daemon: Arc<Daemon>, domain: DomainName, purpose: CommitPurpose, txn: Txn) {
-    daemon.metrics.table_write();
+    daemon.metrics.record_table_write();
     let outcome = daemon.platform.commit(&txn).await;
     if outcome == CommitOutcome::Unknown {
         tracing::warn!("platform: The outcome of a write is not known; reading it back.");
     } else {
-        daemon.platform_answered();
+        daemon.record_platform_answer();
     }
-    daemon.tell_domain(domain, Event::Committed(purpose, outcome));
+    daemon.send_domain_event(domain, Event::Committed(purpose, outcome));
 }
 
 async fn probe(daemon: Arc<Daemon>, vm: VmName, address: String, endpoint: EndpointName) {
     let owns = daemon.peers.owns(&address, endpoint.as_str()).await.ok();
-    daemon.tell(Event::Probed { vm, endpoint, owns });
+    daemon.send_event(Event::Probed { vm, endpoint, owns });
 }
 
-async fn fetch_habits(daemon: Arc<Daemon>, endpoint: EndpointName) {
+async fn fetch_usage_profiles(daemon: Arc<Daemon>, endpoint: EndpointName) {
     let content = daemon.platform.get_object(&habits_object(endpoint.as_str())).await;
     let wire = content.ok().and_then(|content| serde_json::from_slice::<WireHabits>(&content).ok());
     if let Some(wire) = wire {
-        daemon.tell(Event::UsageProfiles(endpoint, wire.into()));
+        daemon.send_event(Event::UsageProfiles(endpoint, wire.into()));
     }
 }
 
-async fn keep_habits(
+async fn store_usage_profiles(
     daemon: Arc<Daemon>,
     endpoint: EndpointName,
-    habits: BTreeMap<ModelName, UsageProfile>,
+    profiles: BTreeMap<ModelName, UsageProfile>,
 ) {
-    let Ok(content) = serde_json::to_vec(&WireHabits::from(&habits)) else { return };
-    let kept = daemon.platform.put_object(&habits_object(endpoint.as_str()), &content).await;
-    if let Err(error) = kept {
+    let Ok(content) = serde_json::to_vec(&WireHabits::from(&profiles)) else { return };
+    let stored = daemon.platform.put_object(&habits_object(endpoint.as_str()), &content).await;
+    if let Err(error) = stored {
         tracing::debug!("owner: Habits at {endpoint} were not kept: {error}.");
     }
 }
@@ -128,5 +128,5 @@
         }
         OrderOutcome::Unknown => tracing::warn!("owner: {endpoint} did not answer an order."),
     }
-    daemon.tell(Event::OrderResult { endpoint, fence: order.fence, outcome });
+    daemon.send_event(Event::OrderResult { endpoint, fence: order.fence, outcome });
 }
--- a/crates/trestled/src/admin.rs
+++ b/crates/trestled/src/admin.rs
@@ -28,7 +28,7 @@
 
 async fn status(daemon: &Daemon, conn: Conn) -> Conn {
     let (reply, answer) = async_channel::bounded(1);
-    daemon.send(Message::Status(reply));
+    daemon.send(Message::StatusQuery(reply));
     let status = answer.recv().await.ok().and_then(|status| serde_json::to_string(&status).ok());
     match status {
         Some(text) => conn.with_response_header("content-type", "application/json").ok(text),
--- a/crates/trestled/src/claims.rs
+++ b/crates/trestled/src/claims.rs
@@ -5,20 +5,20 @@
 //! does not end it between two steps. Whether the attempt may still send is
 //! decided by a [`gate`].
 
-mod gate;
 mod record;
+mod send_state;
 pub(crate) mod writer;
 
 use crate::{
     daemon::Daemon,
     entry::{
         InFlight,
-        choice::{self, Place},
-        service_call::{self, Called, ServiceAnswer, ServiceCall},
+        server_selection::{self, ServerSlot},
+        service_call::{self, CallOutcome, ServiceAnswer, ServiceCall},
     },
 };
 use futures_lite::FutureExt;
-use gate::Gate;
+use send_state::SendState;
 use sha2::{Digest, Sha256};
 use smol::Timer;
 use std::{
@@ -33,11 +33,11 @@
 use trestle_wire::claim::{WireClaim, WireClaimState};
 
 /// Time between two looks at a claim that another attempt holds.
-const WAIT_MS: u64 = 100;
+const POLL_INTERVAL_MS: u64 = 100;
 /// Time for which an answer is still waited for, to record it, past the caller's deadline.
-const LATE_ANSWER: Duration = Duration::from_secs(60);
+const ANSWER_LIMIT: Duration = Duration::from_secs(60);
 /// Time for which an answer is held back until it is recorded.
-const RECORD_MS: u64 = 500;
+const RECORD_WAIT_MS: u64 = 500;
 
 /// A call with everything that an attempt needs.
 pub(crate) struct ClaimedCall {
@@ -50,7 +50,7 @@
 }
 
 /// How a call ended, for its caller.
-pub(crate) enum ClaimEnd {
+pub(crate) enum ClaimOutcome {
     Answered(ServiceAnswer),
     NotRun,
     Unknown,
@@ -58,44 +58,44 @@
 }
 
 /// Runs a call once, or finds out what became of it.
-pub(crate) async fn run(daemon: &Arc<Daemon>, claimed: ClaimedCall) -> ClaimEnd {
-    let gate = Arc::new(Gate::default());
+pub(crate) async fn run(daemon: &Arc<Daemon>, claimed: ClaimedCall) -> ClaimOutcome {
+    let send_state = Arc::new(SendState::default());
     let deadline = claimed.deadline;
     let is_repeated = claimed.is_repeated;
     let (reply, answer) = async_channel::bounded(1);
-    let running = Running::new(Arc::clone(daemon), claimed, Arc::clone(&gate));
+    let task = AttemptTask::new(Arc::clone(daemon), claimed, Arc::clone(&send_state));
     let attempt = async move {
-        let end = running.run().await;
+        let end = task.run().await;
         let _ = reply.try_send(end);
     };
     smol::spawn(attempt).detach();
-    let ended = async { answer.recv().await.unwrap_or(ClaimEnd::Unknown) };
-    let late = async {
+    let ended = async { answer.recv().await.unwrap_or(ClaimOutcome::Unknown) };
+    let timed_out = async {
         Timer::at(deadline).await;
-        gate.close(is_repeated)
+        send_state.close_at_deadline(is_repeated)
     };
-    ended.or(late).await
+    ended.or(timed_out).await
 }
 
 /// An attempt under way.
-struct Running {
+struct AttemptTask {
     daemon: Arc<Daemon>,
     claimed: ClaimedCall,
-    gate: Arc<Gate>,
+    send_state: Arc<SendState>,
     attempt: Attempt,
     digest: String,
     answer: Option<ServiceAnswer>,
 }
 
-impl Running {
-    fn new(daemon: Arc<Daemon>, claimed: ClaimedCall, gate: Arc<Gate>) -> Self {
-        let name = format!("{}-{:032x}", daemon.me, fastrand::u128(..));
-        let digest = digest_of(&claimed.call);
+impl AttemptTask {
+    fn new(daemon: Arc<Daemon>, claimed: ClaimedCall, send_state: Arc<SendState>) -> Self {
+        let name = format!("{}-{:032x}", daemon.own_vm, fastrand::u128(..));
+        let digest = call_digest(&claimed.call);
         let attempt = Attempt::new(name, claimed.is_repeated);
-        Self { daemon, claimed, gate, attempt, digest, answer: None }
+        Self { daemon, claimed, send_state, attempt, digest, answer: None }
     }
 
-    async fn run(mut self) -> ClaimEnd {
+    async fn run(mut self) -> ClaimOutcome {
         let _in_flight = InFlight::new(&self.daemon);
         let mut step = self.attempt.first();
         loop {
@@ -115,9 +115,9 @@
         if self.daemon.platform_is_down() {
             return ClaimEvent::ReadFailed;
         }
-        self.daemon.metrics.table_read();
+        self.daemon.metrics.record_table_read();
         match record::read(&self.daemon, &self.claimed.row).await {
-            Ok((version, claim)) => ClaimEvent::Read(self.take_row(version, claim).await),
+            Ok((version, claim)) => ClaimEvent::Read(self.interpret_row(version, claim).await),
             Err(error) => {
                 tracing::warn!("claim: A claim cannot be read: {error}.");
                 ClaimEvent::ReadFailed
@@ -125,7 +125,7 @@
         }
     }
 
-    async fn take_row(&mut self, version: u64, claim: Option<WireClaim>) -> ClaimRow {
+    async fn interpret_row(&mut self, version: u64, claim: Option<WireClaim>) -> ClaimRow {
         let same_call = claim.as_ref().is_none_or(|claim| claim.digest == self.digest);
         let state = match claim {
             None => ClaimState::Free,
@@ -134,7 +134,7 @@
                 ClaimState::Claimed { attempt }
             }
             Some(WireClaim { attempt, state: WireClaimState::Answered { answer }, .. }) => {
-                self.answer = record::kept_answer(&self.daemon, answer).await;
+                self.answer = record::load_answer(&self.daemon, answer).await;
                 match self.answer {
                     Some(_) => ClaimState::Answered,
                     // The answer is kept, but cannot be read at the moment.
@@ -146,7 +146,7 @@
     }
 
     async fn claim(&mut self, version: u64) -> ClaimEvent {
-        self.gate.note_contested();
+        self.send_state.mark_contested();
         let claim = self.wire_claim(WireClaimState::Claimed);
         let outcome = self.daemon.claim_writer.write(&self.claimed.row, version, &claim).await;
         match outcome {
@@ -157,38 +157,39 @@
     }
 
     async fn send(&mut self) -> ClaimEvent {
-        self.gate.note_held();
-        for endpoint in choice::order(&self.daemon, &self.claimed.service) {
-            let place = choice::take(&self.daemon, &self.claimed.service, &endpoint);
-            let Some(place) = place else { continue };
-            if !self.begin_to_send() {
+        self.send_state.mark_held();
+        for endpoint in server_selection::ranked(&self.daemon, &self.claimed.service) {
+            let slot =
+                server_selection::acquire_slot(&self.daemon, &self.claimed.service, &endpoint);
+            let Some(slot) = slot else { continue };
+            if !self.try_begin_sending() {
                 return ClaimEvent::NotSent;
             }
-            match self.send_to(&place).await {
-                Called::Answered(answer) => {
+            match self.send_to(&slot).await {
+                CallOutcome::Answered(answer) => {
                     self.answer = Some(answer);
                     return ClaimEvent::Answer;
                 }
-                Called::Lost(message) => {
+                CallOutcome::AnswerLost(message) => {
                     tracing::warn!("claim: {endpoint} gave no whole answer: {message}.");
                     return ClaimEvent::AnswerLost;
                 }
                 // The connection was refused, so the next server may be tried.
-                Called::NotSent(_) => {}
+                CallOutcome::NotSent(_) => {}
             }
         }
         // From here on nothing is sent, whatever the caller's side decides.
-        self.gate.shut();
+        self.send_state.forbid_sending();
         ClaimEvent::NotSent
     }
 
-    fn begin_to_send(&self) -> bool {
-        Instant::now() < self.claimed.deadline && self.gate.begin_to_send()
+    fn try_begin_sending(&self) -> bool {
+        Instant::now() < self.claimed.deadline && self.send_state.try_begin_sending()
     }
 
-    async fn send_to(&self, place: &Place) -> Called {
-        let client = &self.daemon.single_traffic;
-        service_call::send(client, place, &self.claimed.call, LATE_ANSWER).await
+    async fn send_to(&self, slot: &ServerSlot) -> CallOutcome {
+        let client = &self.daemon.single_use_client;
+        service_call::send(client, slot, &self.claimed.call, ANSWER_LIMIT).await
     }
 
     /// Writes what became of the call; goes on in the background if that takes long.
@@ -197,20 +198,20 @@
         let daemon = Arc::clone(&self.daemon);
         let row = self.claimed.row.clone();
         let claim = self.wire_claim(WireClaimState::NotRun);
-        let (done, is_done) = async_channel::bounded::<()>(1);
+        let (done, finished) = async_channel::bounded::<()>(1);
         let in_flight = InFlight::new(&self.daemon);
         let recording = async move {
-            record::until_written(&daemon, &row, claim, answer).await;
+            record::write_with_retries(&daemon, &row, claim, answer).await;
             drop(in_flight);
             drop(done);
         };
         smol::spawn(recording).detach();
         if recorded == Recorded::Answered {
             let written = async {
-                let _ = is_done.recv().await;
+                let _ = finished.recv().await;
             };
             let limit = async {
-                Timer::after(Duration::from_millis(RECORD_MS)).await;
+                Timer::after(Duration::from_millis(RECORD_WAIT_MS)).await;
             };
             written.or(limit).await;
         }
@@ -218,23 +219,23 @@
     }
 
     async fn wait(&mut self) -> ClaimEvent {
-        self.gate.note_contested();
-        if Instant::now() + Duration::from_millis(WAIT_MS) >= self.claimed.deadline {
+        self.send_state.mark_contested();
+        if Instant::now() + Duration::from_millis(POLL_INTERVAL_MS) >= self.claimed.deadline {
             return ClaimEvent::Deadline;
         }
-        Timer::after(Duration::from_millis(WAIT_MS)).await;
+        Timer::after(Duration::from_millis(POLL_INTERVAL_MS)).await;
         self.read().await
     }
 
-    fn end(&mut self, end: End) -> ClaimEnd {
+    fn end(&mut self, end: End) -> ClaimOutcome {
         match end {
             End::Answered | End::Replayed => match self.answer.take() {
-                Some(answer) => ClaimEnd::Answered(answer),
-                None => ClaimEnd::Unknown,
+                Some(answer) => ClaimOutcome::Answered(answer),
+                None => ClaimOutcome::Unknown,
             },
-            End::NotRun => ClaimEnd::NotRun,
-            End::Unknown => ClaimEnd::Unknown,
-            End::OtherCall => ClaimEnd::OtherCall,
+            End::NotRun => ClaimOutcome::NotRun,
+            End::Unknown => ClaimOutcome::Unknown,
+            End::OtherCall => ClaimOutcome::OtherCall,
         }
     }
 
@@ -243,7 +244,7 @@
     }
 }
 
-fn digest_of(call: &ServiceCall) -> String {
+fn call_digest(call: &ServiceCall) -> String {
     let mut digest = Sha256::new();
     for part in [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body] {
         digest.update((part.len() as u64).to_le_bytes());
--- a/crates/trestled/src/claims/record.rs
+++ b/crates/trestled/src/claims/record.rs
@@ -7,9 +7,9 @@
 use trestle_wire::claim::{WireAnswerBody, WireClaim, WireClaimState, WireKeptAnswer};
 
 /// Time between two tries to write what became of a call.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Tries to write what became of a call.
-const MAX_TRIES: u32 = 1_200;
+const MAX_ATTEMPTS: u32 = 1_200;
 
 /// Reads the claim in a row, with the version of the row.
 pub(crate) async fn read(
@@ -17,34 +17,34 @@
     row: &str,
 ) -> trestle_client::Result<(u64, Option<WireClaim>)> {
     let response = daemon.platform.read_raw(vec![row.to_owned()]).await?;
-    daemon.platform_answered();
+    daemon.record_platform_answer();
     let Some(found) = response.rows.get(row) else { return Ok((0, None)) };
     let claim = found.value.clone().and_then(|value| serde_json::from_value(value).ok());
     Ok((found.version, claim))
 }
 
 /// The answer that a claim keeps; `None` if it cannot be read at the moment.
-pub(crate) async fn kept_answer(daemon: &Daemon, kept: WireKeptAnswer) -> Option<ServiceAnswer> {
-    let body = match kept.body {
+pub(crate) async fn load_answer(daemon: &Daemon, stored: WireKeptAnswer) -> Option<ServiceAnswer> {
+    let body = match stored.body {
         WireAnswerBody::Here { hex } => hex::decode(hex).ok()?,
         WireAnswerBody::Object { name } => daemon.platform.get_object(&name).await.ok()?,
     };
-    Some(ServiceAnswer { status: kept.status, content_type: kept.content_type, body })
+    Some(ServiceAnswer { status: stored.status, content_type: stored.content_type, body })
 }
 
 /// Writes what became of a call: its answer, or that it was not run.
-pub(crate) async fn until_written(
+pub(crate) async fn write_with_retries(
     daemon: &Daemon,
     row: &str,
     mut claim: WireClaim,
     answer: Option<ServiceAnswer>,
 ) {
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if let Some(answer) = &answer {
-            match keep(daemon, &claim.attempt, answer).await {
+            match store_answer(daemon, &claim.attempt, answer).await {
                 Some(answer) => claim.state = WireClaimState::Answered { answer },
                 None => {
-                    Timer::after(RETRY).await;
+                    Timer::after(RETRY_INTERVAL).await;
                     continue;
                 }
             }
@@ -52,12 +52,16 @@
         if write(daemon, row, &claim).await {
             return;
         }
-        Timer::after(RETRY).await;
+        Timer::after(RETRY_INTERVAL).await;
     }
     tracing::error!("claim: What became of {row} could not be recorded.");
 }
 
-async fn keep(daemon: &Daemon, attempt: &str, answer: &ServiceAnswer) -> Option<WireKeptAnswer> {
+async fn store_answer(
+    daemon: &Daemon,
+    attempt: &str,
+    answer: &ServiceAnswer,
+) -> Option<WireKeptAnswer> {
     let body = if answer.body.len() <= daemon.settings.limits.kept_answer_bytes {
         WireAnswerBody::Here { hex: hex::encode(&answer.body) }
     } else {
--- a/crates/trestled/src/claims/gate.rs
+++ b/crates/trestled/src/claims/send_state.rs
@@ -4,7 +4,7 @@
 //! caller's side closes it at the deadline; from then on the attempt sends
 //! nothing, so what the caller is told stays true.
 
-use super::ClaimEnd;
+use super::ClaimOutcome;
 use std::sync::atomic::{AtomicU8, Ordering};
 
 /// The row of the key has not been read yet.
@@ -20,26 +20,26 @@
 
 /// Whether an attempt may still send.
 #[derive(Default)]
-pub(crate) struct Gate(AtomicU8);
+pub(crate) struct SendState(AtomicU8);
 
-impl Gate {
+impl SendState {
     /// Notes that another attempt holds the claim, or may.
-    pub(crate) fn note_contested(&self) {
-        let _ = self.change(UNREAD, CONTESTED);
+    pub(crate) fn mark_contested(&self) {
+        let _ = self.transition(UNREAD, CONTESTED);
     }
 
     /// Notes that the attempt holds the claim.
-    pub(crate) fn note_held(&self) {
-        let _ = self.change(UNREAD, HELD).or_else(|_| self.change(CONTESTED, HELD));
+    pub(crate) fn mark_held(&self) {
+        let _ = self.transition(UNREAD, HELD).or_else(|_| self.transition(CONTESTED, HELD));
     }
 
     /// Begins to send, or goes on to; tells whether that is allowed.
-    pub(crate) fn begin_to_send(&self) -> bool {
-        matches!(self.change(HELD, SENDING), Ok(_) | Err(SENDING))
+    pub(crate) fn try_begin_sending(&self) -> bool {
+        matches!(self.transition(HELD, SENDING), Ok(_) | Err(SENDING))
     }
 
     /// Forbids to send, whatever has been sent before.
-    pub(crate) fn shut(&self) {
+    pub(crate) fn forbid_sending(&self) {
         self.0.store(CLOSED, Ordering::SeqCst);
     }
 
@@ -47,22 +47,22 @@
     ///
     /// `is_repeated` says that the caller has sent the key before, so that
     /// without the row nobody can say that the call was not run.
-    pub(crate) fn close(&self, is_repeated: bool) -> ClaimEnd {
+    pub(crate) fn close_at_deadline(&self, is_repeated: bool) -> ClaimOutcome {
         let mut state = self.0.load(Ordering::SeqCst);
         while state != SENDING && state != CLOSED {
-            match self.change(state, CLOSED) {
+            match self.transition(state, CLOSED) {
                 Ok(_) => break,
                 Err(changed) => state = changed,
             }
         }
         match state {
-            UNREAD if !is_repeated => ClaimEnd::NotRun,
-            HELD => ClaimEnd::NotRun,
-            _ => ClaimEnd::Unknown,
+            UNREAD if !is_repeated => ClaimOutcome::NotRun,
+            HELD => ClaimOutcome::NotRun,
+            _ => ClaimOutcome::Unknown,
         }
     }
 
-    fn change(&self, from: u8, to: u8) -> Result<u8, u8> {
+    fn transition(&self, from: u8, to: u8) -> Result<u8, u8> {
         self.0.compare_exchange(from, to, Ordering::SeqCst, Ordering::SeqCst)
     }
 }
--- a/crates/trestled/src/claims/writer.rs
+++ b/crates/trestled/src/claims/writer.rs
@@ -11,15 +11,15 @@
 use trestle_wire::{claim::WireClaim, table::CommitRequest};
 
 /// Claims that go out together at most.
-const MAX_TOGETHER: usize = 128;
+const MAX_BATCH_CLAIMS: usize = 128;
 
 /// Writes claims, many in one transaction.
 pub(crate) struct ClaimWriter {
-    claims: Sender<Pending>,
+    claims: Sender<PendingClaim>,
 }
 
 /// A claim that waits to be written.
-struct Pending {
+struct PendingClaim {
     row: String,
     version: u64,
     value: serde_json::Value,
@@ -30,7 +30,7 @@
     /// Starts the task that writes.
     pub(crate) fn start(platform: Platform) -> Self {
         let (claims, received) = async_channel::unbounded();
-        smol::spawn(write_all(platform, received)).detach();
+        smol::spawn(run(platform, received)).detach();
         Self { claims }
     }
 
@@ -38,7 +38,7 @@
     pub(crate) async fn write(&self, row: &str, version: u64, claim: &WireClaim) -> CommitOutcome {
         let Ok(value) = serde_json::to_value(claim) else { return CommitOutcome::Conflict };
         let (reply, outcome) = async_channel::bounded(1);
-        let pending = Pending { row: row.to_owned(), version, value, reply };
+        let pending = PendingClaim { row: row.to_owned(), version, value, reply };
         if self.claims.send(pending).await.is_err() {
             return CommitOutcome::Unknown;
         }
@@ -46,20 +46,20 @@
     }
 }
 
-async fn write_all(platform: Platform, received: Receiver<Pending>) {
+async fn run(platform: Platform, received: Receiver<PendingClaim>) {
     while let Ok(first) = received.recv().await {
         let mut batch = BTreeMap::new();
         let mut next = Some(first);
         while let Some(pending) = next {
             add(&mut batch, pending);
-            next = if batch.len() < MAX_TOGETHER { received.try_recv().ok() } else { None };
+            next = if batch.len() < MAX_BATCH_CLAIMS { received.try_recv().ok() } else { None };
         }
         write_batch(&platform, batch).await;
     }
 }
 
 /// Adds a claim; a second one for the same row has lost to the first.
-fn add(batch: &mut BTreeMap<String, Pending>, pending: Pending) {
+fn add(batch: &mut BTreeMap<String, PendingClaim>, pending: PendingClaim) {
     if batch.contains_key(&pending.row) {
         let _ = pending.reply.try_send(CommitOutcome::Conflict);
         return;
@@ -67,7 +67,7 @@
     batch.insert(pending.row.clone(), pending);
 }
 
-async fn write_batch(platform: &Platform, mut batch: BTreeMap<String, Pending>) {
+async fn write_batch(platform: &Platform, mut batch: BTreeMap<String, PendingClaim>) {
     while !batch.is_empty() {
         let mut request = CommitRequest::default();
         for (row, pending) in &batch {
--- a/crates/trestled/src/clock.rs
+++ b/crates/trestled/src/clock.rs
@@ -16,7 +16,7 @@
     loop {
         let offset_minutes = daemon.routing().config.utc_offset_minutes;
         if let Some(time) = now(offset_minutes) {
-            daemon.tell(Event::Clock(time));
+            daemon.send_event(Event::Clock(time));
         }
         Timer::after(INTERVAL).await;
     }
--- a/crates/trestled/src/config_watch.rs
+++ b/crates/trestled/src/config_watch.rs
@@ -17,31 +17,31 @@
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let interval = Duration::from_millis(daemon.settings.intervals.config_poll_ms);
     loop {
-        follow(&daemon).await;
+        update(&daemon).await;
         Timer::after(interval).await;
     }
 }
 
-async fn follow(daemon: &Daemon) {
+async fn update(daemon: &Daemon) {
     match read_head(daemon).await {
-        Ok(Some(head)) if head.version > version(daemon) => {
+        Ok(Some(head)) if head.version > current_version(daemon) => {
             if let Some(config) = read_file(daemon, &head).await {
-                take(daemon, &config);
+                apply(daemon, &config);
                 return;
             }
         }
         Ok(_) => return,
         Err(error) => tracing::debug!("config: The head cannot be read: {error}."),
     }
-    if let Some(config) = ask_peer(daemon).await {
-        take(daemon, &config);
+    if let Some(config) = fetch_from_peer(daemon).await {
+        apply(daemon, &config);
     }
 }
 
 async fn read_head(daemon: &Daemon) -> trestle_client::Result<Option<ConfigHead>> {
-    daemon.metrics.table_read();
+    daemon.metrics.record_table_read();
     let response = daemon.platform.read_raw(vec![CONFIG_HEAD_KEY.to_owned()]).await?;
-    daemon.platform_answered();
+    daemon.record_platform_answer();
     let row = response.rows.get(CONFIG_HEAD_KEY).and_then(|row| row.value.clone());
     Ok(row.and_then(|value| serde_json::from_value(value).ok()))
 }
@@ -63,18 +63,18 @@
     }
 }
 
-async fn ask_peer(daemon: &Daemon) -> Option<WireConfig> {
+async fn fetch_from_peer(daemon: &Daemon) -> Option<WireConfig> {
     let routing = daemon.routing();
     let members = routing.domains.values().flat_map(|row| &row.members);
     let others: Vec<&str> = members
-        .filter(|(vm, _)| **vm != daemon.me)
+        .filter(|(vm, _)| **vm != daemon.own_vm)
         .map(|(_, member)| member.address.as_str())
         .collect();
     let address = others.get(fastrand::usize(..others.len().max(1)))?;
-    daemon.peers.config_after(address, version(daemon)).await.ok()?
+    daemon.peers.config_after(address, current_version(daemon)).await.ok()?
 }
 
-fn take(daemon: &Daemon, offered: &WireConfig) {
+fn apply(daemon: &Daemon, offered: &WireConfig) {
     let before = Arc::clone(&daemon.routing().config);
     let config = match trestle_config::from_str(&offered.text, "configuration") {
         Ok(config) => Arc::new(config.at_version(offered.version, &before)),
@@ -84,17 +84,17 @@
         }
     };
     let text = offered.text.as_str().into();
-    let mut is_taken = false;
-    daemon.change_routing(|routing| is_taken = routing.take_config(Arc::clone(&config), text));
-    if is_taken {
+    let mut is_applied = false;
+    daemon.change_routing(|routing| is_applied = routing.apply_config(Arc::clone(&config), text));
+    if is_applied {
         tracing::info!("config: Version {} is in force.", offered.version);
-        daemon.metrics.config_version(offered.version);
+        daemon.metrics.record_config_version(offered.version);
         // The configuration names the domains, so only now can their members be read.
-        daemon.refresh_domains();
-        daemon.tell(Event::Catalog(Arc::new(config.catalog.clone())));
+        daemon.request_domains_refresh();
+        daemon.send_event(Event::Catalog(Arc::new(config.catalog.clone())));
     }
 }
 
-fn version(daemon: &Daemon) -> u64 {
+fn current_version(daemon: &Daemon) -> u64 {
     daemon.routing().config.catalog.version
 }
--- a/crates/trestled/src/control.rs
+++ b/crates/trestled/src/control.rs
@@ -4,10 +4,11 @@
 //! the node, and gives what the node asks for to [`crate::shell`].
 
 use crate::{
+    actions,
     daemon::Daemon,
     error::{Result, ThreadSnafu},
     message::Message,
-    shell, status,
+    status,
 };
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -36,12 +37,12 @@
 /// Everything that the control thread holds.
 struct Control {
     daemon: Arc<Daemon>,
-    own: DomainName,
+    own_domain: DomainName,
     /// A node for the daemon's own domain, and one for each that it has adopted.
-    nodes: BTreeMap<DomainName, ControlState>,
+    states: BTreeMap<DomainName, ControlState>,
     adoptions: BTreeMap<DomainName, Adoption>,
-    next_adoption_ms: u64,
-    waiting: BTreeMap<Ticket, Sender<PermitAnswer>>,
+    next_adoption_read_ms: u64,
+    permit_replies: BTreeMap<Ticket, Sender<PermitAnswer>>,
 }
 
 /// Starts the control thread.
@@ -49,13 +50,13 @@
     let own = DomainName::from(daemon.settings.domain.as_str());
     let mut control = Control {
         daemon,
-        own: own.clone(),
-        nodes: BTreeMap::new(),
+        own_domain: own.clone(),
+        states: BTreeMap::new(),
         adoptions: BTreeMap::new(),
-        next_adoption_ms: 0,
-        waiting: BTreeMap::new(),
+        next_adoption_read_ms: 0,
+        permit_replies: BTreeMap::new(),
     };
-    control.add_node(own);
+    control.add_state(own);
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || smol::block_on(control.run(messages)))
@@ -82,130 +83,132 @@
             let now_ms = self.daemon.now_ms();
             if now_ms >= next_tick_ms {
                 next_tick_ms = now_ms + TICK_MS;
-                self.take(Message::Event(Event::Tick));
-                self.follow_adoptions();
+                self.handle_message(Message::Event(Event::Tick));
+                self.read_adoption_candidates();
             }
             let next_tick = async {
                 Timer::after(Duration::from_millis(next_tick_ms.saturating_sub(now_ms))).await;
                 Ok(Message::Event(Event::Tick))
             };
             match messages.recv().or(next_tick).await {
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle_message(message),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Event(event) => self.distribute(event),
+            Message::Event(event) => self.dispatch(event),
             Message::DomainEvent(domain, Event::Read(ReadPurpose::Adoption, rows)) => {
                 self.on_adoption_read(&domain, rows.as_ref());
             }
-            Message::DomainEvent(domain, event) => self.handle(&domain, event),
-            Message::Ask(ask, reply) => {
-                self.waiting.insert(ask.ticket, reply);
-                let domain = self.domain_of(&ask.endpoint);
-                self.handle(&domain, Event::PermitRequested(ask));
+            Message::DomainEvent(domain, event) => self.handle_event(&domain, event),
+            Message::PermitRequest(request, reply) => {
+                self.permit_replies.insert(request.ticket, reply);
+                let domain = self.domain_of(&request.endpoint);
+                self.handle_event(&domain, Event::PermitRequested(request));
             }
-            Message::Owns(endpoint, reply) => {
-                let node = self.nodes.get(&self.domain_of(&endpoint));
-                let _ = reply.try_send(node.is_some_and(|node| node.owns(&endpoint)));
+            Message::OwnershipQuery(endpoint, reply) => {
+                let state = self.states.get(&self.domain_of(&endpoint));
+                let _ = reply.try_send(state.is_some_and(|state| state.owns(&endpoint)));
             }
-            Message::Status(reply) => {
-                let _ = reply.try_send(status::of(&self.daemon, &self.own, &self.nodes));
+            Message::StatusQuery(reply) => {
+                let _ = reply.try_send(status::build(&self.daemon, &self.own_domain, &self.states));
             }
         }
     }
 
     /// Hands an event to the node of its endpoint, or to all.
-    fn distribute(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         if let Event::Cancel(_, ticket) = &event {
-            self.waiting.remove(ticket);
+            self.permit_replies.remove(ticket);
         }
         match event.endpoint().map(|endpoint| self.domain_of(endpoint)) {
-            Some(domain) => self.handle(&domain, event),
+            Some(domain) => self.handle_event(&domain, event),
             None => {
-                for domain in self.nodes.keys().cloned().collect::<Vec<_>>() {
-                    self.handle(&domain, event.clone());
+                for domain in self.states.keys().cloned().collect::<Vec<_>>() {
+                    self.handle_event(&domain, event.clone());
                 }
             }
         }
     }
 
-    fn handle(&mut self, domain: &DomainName, event: Event) {
+    fn handle_event(&mut self, domain: &DomainName, event: Event) {
         let now_ms = self.daemon.now_ms();
-        let Some(node) = self.nodes.get_mut(domain) else {
+        let Some(state) = self.states.get_mut(domain) else {
             // An ask that came too late finds nobody who could answer it.
-            if let Event::PermitRequested(ask) = event {
+            if let Event::PermitRequested(request) = event {
                 let answer = PermitAnswer::NotOwner { owner_rank: None };
-                self.carry_out(domain, Action::Answer(ask.ticket, answer));
+                self.execute(domain, Action::Answer(request.ticket, answer));
             }
             return;
         };
-        for action in node.handle(event, now_ms) {
-            self.carry_out(domain, action);
+        for action in state.handle(event, now_ms) {
+            self.execute(domain, action);
         }
     }
 
-    fn carry_out(&mut self, domain: &DomainName, action: Action) {
+    fn execute(&mut self, domain: &DomainName, action: Action) {
         let Action::Answer(ticket, answer) = action else {
             let has_left = action == Action::Left;
-            shell::carry_out(&self.daemon, domain, action);
-            if has_left && *domain != self.own {
-                self.nodes.remove(domain);
+            actions::execute(&self.daemon, domain, action);
+            if has_left && *domain != self.own_domain {
+                self.states.remove(domain);
             }
             return;
         };
-        let reply = self.waiting.remove(&ticket);
-        let is_received = reply.is_some_and(|reply| reply.try_send(answer.clone()).is_ok());
+        let reply = self.permit_replies.remove(&ticket);
+        let was_received = reply.is_some_and(|reply| reply.try_send(answer.clone()).is_ok());
         let is_granted = matches!(answer, PermitAnswer::Granted { .. });
-        if is_granted && !is_received {
-            self.give_back(domain, ticket);
+        if is_granted && !was_received {
+            self.release_unclaimed(domain, ticket);
         }
     }
 
     /// Gives back a permit that nobody waits for any more.
-    fn give_back(&mut self, domain: &DomainName, ticket: Ticket) {
-        let seats = self.nodes.get(domain).map(ControlState::chain_positions).into_iter().flatten();
-        let mut holders = seats.filter(|(_, seat)| {
-            let owned = seat.owned_endpoint();
+    fn release_unclaimed(&mut self, domain: &DomainName, ticket: Ticket) {
+        let positions =
+            self.states.get(domain).map(ControlState::chain_positions).into_iter().flatten();
+        let mut holders = positions.filter(|(_, position)| {
+            let owned = position.owned_endpoint();
             owned.is_some_and(|owned| owned.has_permit(ticket))
         });
         if let Some(endpoint) = holders.next().map(|(endpoint, _)| endpoint.clone()) {
-            self.handle(domain, Event::Release(endpoint, ticket));
+            self.handle_event(domain, Event::Release(endpoint, ticket));
         }
     }
 
     fn domain_of(&self, endpoint: &EndpointName) -> DomainName {
-        self.daemon.routing().domain_of(endpoint).unwrap_or(&self.own).clone()
+        self.daemon.routing().domain_of(endpoint).unwrap_or(&self.own_domain).clone()
     }
 
-    fn add_node(&mut self, domain: DomainName) {
+    fn add_state(&mut self, domain: DomainName) {
         let member = Member {
             address: self.daemon.peers_address().to_string(),
             incarnation: self.daemon.incarnation,
-            is_adopter: domain != self.own,
+            is_adopter: domain != self.own_domain,
         };
         let timing = timing(&self.daemon);
-        let node = ControlState::new(self.daemon.me.clone(), member, domain.clone(), timing);
-        self.nodes.insert(domain, node);
+        let state = ControlState::new(self.daemon.own_vm.clone(), member, domain.clone(), timing);
+        self.states.insert(domain, state);
     }
 
     /// Follows the domains that this daemon may have to adopt.
-    fn follow_adoptions(&mut self) {
+    fn read_adoption_candidates(&mut self) {
         let now_ms = self.daemon.now_ms();
-        if now_ms < self.next_adoption_ms || self.daemon.is_stopping.load(Ordering::Relaxed) {
+        if now_ms < self.next_adoption_read_ms || self.daemon.is_stopping.load(Ordering::Relaxed) {
             return;
         }
         let timing = timing(&self.daemon);
-        self.next_adoption_ms = now_ms + timing.lease_ms;
-        let Some(membership) = self.nodes.get(&self.own).map(ControlState::membership) else {
+        self.next_adoption_read_ms = now_ms + timing.lease_ms;
+        let Some(membership) = self.states.get(&self.own_domain).map(ControlState::membership)
+        else {
             return;
         };
         let row = membership.row();
         let domains = self.daemon.routing().domain_names();
-        let others = domains.into_iter().filter(|domain| !self.nodes.contains_key(domain));
+        let others = domains.into_iter().filter(|domain| !self.states.contains_key(domain));
         let followed: BTreeSet<DomainName> =
             others.filter(|domain| adoption::follows(row, membership.own_vm(), domain)).collect();
         self.adoptions.retain(|domain, _| followed.contains(domain));
@@ -215,23 +218,23 @@
                 .entry(domain.clone())
                 .or_insert_with(|| Adoption::new(domain.clone(), timing));
             let read = Action::Read(ReadPurpose::Adoption, adoption.keys());
-            shell::carry_out(&self.daemon, &domain, read);
+            actions::execute(&self.daemon, &domain, read);
         }
     }
 
     fn on_adoption_read(&mut self, domain: &DomainName, rows: Option<&Rows>) {
         let now_ms = self.daemon.now_ms();
-        let own = self.nodes.get(&self.own).map(ControlState::membership);
+        let own = self.states.get(&self.own_domain).map(ControlState::membership);
         let is_fresh = own.is_some_and(|membership| membership.lease_is_fresh(now_ms));
         let Some(adoption) = self.adoptions.get_mut(domain) else { return };
         adoption.on_read(rows, is_fresh, now_ms);
-        if !adoption.is_due(&self.own, &self.daemon.routing().domain_names()) {
+        if !adoption.is_due(&self.own_domain, &self.daemon.routing().domain_names()) {
             return;
         }
         tracing::warn!("member: Adopting {domain}, whose daemons are all gone.");
         self.adoptions.remove(domain);
-        self.add_node(domain.clone());
+        self.add_state(domain.clone());
         let catalog = Arc::new(self.daemon.routing().config.catalog.clone());
-        self.handle(domain, Event::Catalog(catalog));
+        self.handle_event(domain, Event::Catalog(catalog));
     }
 }
--- a/crates/trestled/src/daemon.rs
+++ b/crates/trestled/src/daemon.rs
@@ -1,8 +1,8 @@
 //! What every part of the daemon shares.
 
 use crate::{
-    claims::writer::ClaimWriter, error::Result, message::Message, metrics::Metrics, places::Places,
-    routing::Routing,
+    claims::writer::ClaimWriter, error::Result, message::Message, metrics::Metrics,
+    placement_hints::PlacementHints, routing::Routing,
 };
 use async_channel::{Receiver, Sender};
 use std::{
@@ -31,23 +31,23 @@
 /// What every part of the daemon shares.
 pub(crate) struct Daemon {
     pub(crate) settings: Settings,
-    pub(crate) me: VmName,
+    pub(crate) own_vm: VmName,
     pub(crate) incarnation: u64,
     pub(crate) platform: Platform,
     pub(crate) engine: Engine,
     pub(crate) peers: Peers,
-    pub(crate) engine_traffic: Client,
-    pub(crate) service_traffic: Client,
-    pub(crate) single_traffic: Client,
+    pub(crate) engine_client: Client,
+    pub(crate) service_client: Client,
+    pub(crate) single_use_client: Client,
     pub(crate) metrics: Metrics,
     has_left: AtomicBool,
     pub(crate) claim_writer: ClaimWriter,
     pub(crate) is_stopping: AtomicBool,
     pub(crate) in_flight: AtomicUsize,
     pub(crate) body_bytes: AtomicUsize,
-    control: Sender<Message>,
-    domains_refresh: Sender<()>,
-    pub(crate) domains_refreshed: Receiver<()>,
+    control_messages: Sender<Message>,
+    domain_refresh_sender: Sender<()>,
+    pub(crate) domain_refresh_requests: Receiver<()>,
     routing: RwLock<Arc<Routing>>,
     started: Instant,
     next_ticket: AtomicU64,
@@ -60,35 +60,35 @@
 pub(crate) struct TrafficState {
     pub(crate) health: BTreeMap<EndpointName, Health>,
     pub(crate) retries: RetryBudget,
-    pub(crate) by_tenant: BTreeMap<TeamName, usize>,
-    pub(crate) by_endpoint: BTreeMap<EndpointName, usize>,
-    pub(crate) places: Places,
+    pub(crate) requests_by_tenant: BTreeMap<TeamName, usize>,
+    pub(crate) calls_by_endpoint: BTreeMap<EndpointName, usize>,
+    pub(crate) placement_hints: PlacementHints,
 }
 
 impl Daemon {
     /// A daemon that has not started, and the messages its control thread takes.
     pub(crate) fn new(settings: Settings) -> Result<(Arc<Self>, Receiver<Message>)> {
-        let (control, messages) = async_channel::unbounded();
-        let (domains_refresh, domains_refreshed) = async_channel::bounded(1);
+        let (control_messages, messages) = async_channel::unbounded();
+        let (domain_refresh_sender, domain_refresh_requests) = async_channel::bounded(1);
         let platform = Platform::new(&settings.platform_url);
         let daemon = Arc::new(Self {
-            me: settings.vm.as_str().into(),
+            own_vm: settings.vm.as_str().into(),
             incarnation: fastrand::u64(..),
             claim_writer: ClaimWriter::start(platform.clone()),
             platform,
             engine: Engine::default(),
             peers: Peers::default(),
-            engine_traffic: trestle_client::http::pooled_client(),
-            service_traffic: trestle_client::http::pooled_client(),
-            single_traffic: trestle_client::http::single_use_client(),
+            engine_client: trestle_client::http::pooled_client(),
+            service_client: trestle_client::http::pooled_client(),
+            single_use_client: trestle_client::http::single_use_client(),
             metrics: Metrics::new()?,
             has_left: AtomicBool::new(false),
             is_stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
             body_bytes: AtomicUsize::new(0),
-            control,
-            domains_refresh,
-            domains_refreshed,
+            control_messages,
+            domain_refresh_sender,
+            domain_refresh_requests,
             routing: RwLock::default(),
             started: Instant::now(),
             next_ticket: AtomicU64::new(fastrand::u64(..) >> 8),
@@ -110,25 +110,25 @@
     }
 
     /// Tells the control thread what happened.
-    pub(crate) fn tell(&self, event: Event) {
+    pub(crate) fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
     /// Tells the control thread what happened in one failure domain.
-    pub(crate) fn tell_domain(&self, domain: DomainName, event: Event) {
+    pub(crate) fn send_domain_event(&self, domain: DomainName, event: Event) {
         self.send(Message::DomainEvent(domain, event));
     }
 
     /// Sends the control thread a message.
     pub(crate) fn send(&self, message: Message) {
         // The channel closes only when the control thread has ended with the process.
-        let _ = self.control.try_send(message);
+        let _ = self.control_messages.try_send(message);
     }
 
     /// Has the members of all domains read again soon.
-    pub(crate) fn refresh_domains(&self) {
+    pub(crate) fn request_domains_refresh(&self) {
         // If one is due already, another is not needed.
-        let _ = self.domains_refresh.try_send(());
+        let _ = self.domain_refresh_sender.try_send(());
     }
 
     /// What traffic needs to know, as of now.
@@ -148,7 +148,7 @@
     }
 
     /// Notes that the platform has answered.
-    pub(crate) fn platform_answered(&self) {
+    pub(crate) fn record_platform_answer(&self) {
         self.platform_answered_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Notes that the daemon has left its failure domain.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn record_left(&self) {
         self.has_left.store(true, Ordering::Relaxed);
     }
 
--- a/crates/trestled/src/domains_watch.rs
+++ b/crates/trestled/src/domains_watch.rs
@@ -11,61 +11,61 @@
 };
 
 /// Leases between two reads; requests that find no owner ask for one sooner.
-const LEASES: u32 = 3;
+const LEASES_PER_READ: u32 = 3;
 /// Shortest time between two reads that are asked for.
-const REFRESH_PAUSE: Duration = Duration::from_millis(100);
+const REFRESH_DELAY: Duration = Duration::from_millis(100);
 
 /// Follows the members of other domains until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
-    let interval = LEASES * Duration::from_millis(daemon.settings.intervals.lease_ms);
+    let interval = LEASES_PER_READ * Duration::from_millis(daemon.settings.intervals.lease_ms);
     loop {
-        follow(&daemon).await;
+        update(&daemon).await;
         let due = async {
             Timer::after(interval).await;
         };
-        let asked_for = async {
-            let _ = daemon.domains_refreshed.recv().await;
-            Timer::after(REFRESH_PAUSE).await;
+        let requested = async {
+            let _ = daemon.domain_refresh_requests.recv().await;
+            Timer::after(REFRESH_DELAY).await;
         };
-        due.or(asked_for).await;
+        due.or(requested).await;
     }
 }
 
-async fn follow(daemon: &Daemon) {
+async fn update(daemon: &Daemon) {
     let own = DomainName::from(daemon.settings.domain.as_str());
     let names = daemon.routing().domain_names();
     let others: Vec<DomainName> = names.into_iter().filter(|name| *name != own).collect();
     if others.is_empty() {
         return;
     }
-    daemon.metrics.table_read();
+    daemon.metrics.record_table_read();
     let keys: Vec<RowKey> = others.iter().cloned().map(RowKey::Membership).collect();
     match daemon.platform.read(&keys).await {
         Ok(rows) => daemon.change_routing(|routing| {
             for (key, Versioned { row, .. }) in rows {
                 if let (RowKey::Membership(domain), Some(Row::Membership(row))) = (key, row) {
-                    routing.take_members(domain, row);
+                    routing.apply_members(domain, row);
                 }
             }
         }),
         Err(error) => {
             tracing::debug!("member: Other domains cannot be read: {error}.");
             for domain in others {
-                ask_a_member(daemon, domain).await;
+                fetch_from_member(daemon, domain).await;
             }
         }
     }
 }
 
 /// Learns the members of a domain from one of them, while the platform cannot be read.
-async fn ask_a_member(daemon: &Daemon, domain: DomainName) {
+async fn fetch_from_member(daemon: &Daemon, domain: DomainName) {
     let routing = daemon.routing();
     let known = routing.domains.get(&domain).map(|row| row.members.values());
     let addresses: Vec<&str> =
         known.into_iter().flatten().map(|member| member.address.as_str()).collect();
     let Some(address) = addresses.get(fastrand::usize(..addresses.len().max(1))) else { return };
     match daemon.peers.members(address).await {
-        Ok(Some(row)) => daemon.change_routing(|routing| routing.take_members(domain, row)),
+        Ok(Some(row)) => daemon.change_routing(|routing| routing.apply_members(domain, row)),
         Ok(None) => {}
         Err(error) => tracing::debug!("member: {domain} cannot be asked: {error}."),
     }
--- a/crates/trestled/src/entry.rs
+++ b/crates/trestled/src/entry.rs
@@ -9,12 +9,12 @@
 
 mod body;
 mod call;
-pub(crate) mod choice;
+mod endpoint_search;
 mod engine_call;
 mod failure;
 mod model;
 mod models_list;
-mod permits;
+pub(crate) mod server_selection;
 mod service;
 pub(crate) mod service_call;
 mod sse;
@@ -35,18 +35,18 @@
     let started = Instant::now();
     let (call, conn) = match Call::new(&daemon, &conn, started) {
         Ok(call) => {
-            let conn = route(&daemon, &call, conn).await;
+            let conn = dispatch(&daemon, &call, conn).await;
             (Some(call), conn)
         }
         Err(failure) => {
-            daemon.metrics.refused("", failure.code);
+            daemon.metrics.record_refusal("", failure.code);
             (None, failure.into_answer(conn, ""))
         }
     };
     if let Some(call) = call {
-        let outcome = outcome_of(&conn);
+        let outcome = outcome_label(&conn);
         let time_ms = started.elapsed().as_secs_f64() * 1e3;
-        daemon.metrics.request(call.tenant.as_str(), &call.class, outcome, time_ms);
+        daemon.metrics.record_request(call.tenant.as_str(), &call.class, outcome, time_ms);
     }
     drop(in_flight);
     if daemon.is_stopping.load(Ordering::Relaxed) {
@@ -55,7 +55,7 @@
     conn
 }
 
-async fn route(daemon: &Arc<Daemon>, call: &Call, conn: Conn) -> Conn {
+async fn dispatch(daemon: &Arc<Daemon>, call: &Call, conn: Conn) -> Conn {
     let path = conn.path().to_owned();
     match (conn.method(), path.as_str()) {
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
@@ -72,7 +72,7 @@
     }
 }
 
-fn outcome_of(conn: &Conn) -> &'static str {
+fn outcome_label(conn: &Conn) -> &'static str {
     match conn.response_headers().get_str(headers::OUTCOME) {
         Some("not_run") => "not_run",
         Some("unknown") => "unknown",
--- a/crates/trestled/src/entry/body.rs
+++ b/crates/trestled/src/entry/body.rs
@@ -20,7 +20,7 @@
 const CHUNK_BYTES: usize = 16 << 10;
 
 /// When to come back after too many bodies were held at once.
-const CROWDED_RETRY_MS: u64 = 1_000;
+const MEMORY_RETRY_MS: u64 = 1_000;
 
 /// The whole body of a request, counted among all bodies until it is dropped.
 pub(crate) struct Body {
@@ -41,7 +41,7 @@
         if before + part.len() > self.daemon.settings.limits.all_bodies_bytes {
             let message = "this daemon holds as many bytes of requests as it may";
             let failure = Failure::not_run(503, "too_many_bytes", message);
-            return Err(failure.after_ms(CROWDED_RETRY_MS));
+            return Err(failure.with_retry_after_ms(MEMORY_RETRY_MS));
         }
         self.content.extend_from_slice(part);
         Ok(())
@@ -63,7 +63,7 @@
         let mut chunk = vec![0; CHUNK_BYTES];
         let mut total = 0;
         loop {
-            let count = reader.read(&mut chunk).await.map_err(|error| broken(&error))?;
+            let count = reader.read(&mut chunk).await.map_err(|error| incomplete(&error))?;
             total += count;
             if count == 0 || total > limits.body_bytes + MAX_DRAINED_BYTES {
                 break;
@@ -107,7 +107,7 @@
     reading.or(timed_out).await;
 }
 
-fn broken(error: &io::Error) -> Failure {
+fn incomplete(error: &io::Error) -> Failure {
     let message = format!("the body did not arrive whole: {error}");
     Failure::not_run(400, "broken_body", message)
 }
--- a/crates/trestled/src/entry/call.rs
+++ b/crates/trestled/src/entry/call.rs
@@ -24,7 +24,7 @@
     pub(crate) urgency: u8,
     pub(crate) deadline: Instant,
     pub(crate) config: Arc<Config>,
-    _share: TenantShare,
+    _slot: TenantSlot,
 }
 
 impl Call {
@@ -37,13 +37,13 @@
         let config = Arc::clone(&daemon.routing().config);
         if config.catalog.version == 0 {
             let message = "no configuration is in force yet; another daemon may have one";
-            return Err(Failure::not_run(503, "not_ready", message).after_ms(1_000));
+            return Err(Failure::not_run(503, "not_ready", message).with_retry_after_ms(1_000));
         }
         let tenant_name = tenant_of(&config, conn)?;
         let tenant = &config.tenants[&tenant_name];
         let (class_name, class) = class_of(&config, tenant, conn)?;
         let deadline_ms = deadline_ms_of(daemon, class, conn)?;
-        let share = TenantShare::take(daemon, &tenant_name, tenant.max_concurrent)?;
+        let slot = TenantSlot::acquire(daemon, &tenant_name, tenant.max_concurrent)?;
         Ok(Self {
             request_id: request_id_of(conn)?,
             tenant: tenant_name,
@@ -51,7 +51,7 @@
             urgency: class.urgency,
             deadline: started + Duration::from_millis(deadline_ms),
             config,
-            _share: share,
+            _slot: slot,
         })
     }
 
@@ -117,29 +117,28 @@
 }
 
 /// One of the requests a tenant may have at this daemon.
-struct TenantShare {
+struct TenantSlot {
     daemon: Arc<Daemon>,
     tenant: TeamName,
 }
 
-impl TenantShare {
-    fn take(daemon: &Arc<Daemon>, tenant: &TeamName, limit: usize) -> Result<Self, Failure> {
+impl TenantSlot {
+    fn acquire(daemon: &Arc<Daemon>, tenant: &TeamName, limit: usize) -> Result<Self, Failure> {
         let mut traffic = daemon.traffic();
-        let count = traffic.by_tenant.entry(tenant.clone()).or_default();
+        let count = traffic.requests_by_tenant.entry(tenant.clone()).or_default();
         if *count >= limit {
             let message = format!("the tenant has {limit} requests here already");
-            return Err(
-                Failure::not_run(429, "tenant_busy", message).after_ms(TENANT_BUSY_RETRY_MS)
-            );
+            return Err(Failure::not_run(429, "tenant_busy", message)
+                .with_retry_after_ms(TENANT_BUSY_RETRY_MS));
         }
         *count += 1;
         Ok(Self { daemon: Arc::clone(daemon), tenant: tenant.clone() })
     }
 }
 
-impl Drop for TenantShare {
+impl Drop for TenantSlot {
     fn drop(&mut self) {
-        if let Some(count) = self.daemon.traffic().by_tenant.get_mut(&self.tenant) {
+        if let Some(count) = self.daemon.traffic().requests_by_tenant.get_mut(&self.tenant) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/trestled/src/entry/permits.rs
+++ b/crates/trestled/src/entry/endpoint_search.rs
@@ -7,8 +7,8 @@
 
 use super::{Failure, call::Call};
 use crate::{
-    asking::{self, Asked, Permit, Wish},
     daemon::Daemon,
+    permit_client::{self, Permit, PermitOutcome, PermitParams},
 };
 use smol::Timer;
 use std::{
@@ -27,21 +27,21 @@
 /// Time for which an owner is looked for while there may be none.
 const OWNER_SEARCH: Duration = Duration::from_secs(4);
 /// Time for which a place is looked for while rows may be on their way.
-const PLACE_SEARCH: Duration = Duration::from_secs(1);
+const PLACEMENT_SEARCH: Duration = Duration::from_secs(1);
 /// Time between two rounds of looking.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What asking the candidates has led to so far.
 #[derive(Default)]
-struct Found {
+struct SearchState {
     least_busy: Option<(u64, EndpointName)>,
     refusal: Option<(u64, WireRefusal)>,
-    any_owner: bool,
-    lost_owner: bool,
+    has_reached_owner: bool,
+    has_lost_owner: bool,
 }
 
 /// Waits for a permit at any endpoint that may serve the model.
-pub(crate) async fn acquire(
+pub(crate) async fn acquire_permit(
     daemon: &Arc<Daemon>,
     call: &Call,
     model: &ModelName,
@@ -49,56 +49,60 @@
 ) -> Result<Permit, Failure> {
     let started = Instant::now();
     loop {
-        let found = match ask_all(daemon, call, model, excluded).await {
+        let state = match try_candidates(daemon, call, model, excluded).await {
             Ok(permit) => return Ok(permit),
-            Err(found) => found,
+            Err(state) => state,
         };
-        let is_worth_waiting = found.may_change(started.elapsed());
-        if !is_worth_waiting || call.time_left() <= SEARCH_INTERVAL {
-            return Err(found.into_failure(model));
+        let may_succeed = state.may_change(started.elapsed());
+        if !may_succeed || call.time_left() <= SEARCH_INTERVAL {
+            return Err(state.into_failure(model));
         }
-        daemon.refresh_domains();
+        daemon.request_domains_refresh();
         Timer::after(SEARCH_INTERVAL).await;
     }
 }
 
 /// Asks one candidate after the other, and then the least busy one again.
-async fn ask_all(
+async fn try_candidates(
     daemon: &Arc<Daemon>,
     call: &Call,
     model: &ModelName,
     excluded: &BTreeSet<EndpointName>,
-) -> Result<Permit, Found> {
+) -> Result<Permit, SearchState> {
     let load_ms = call.config.catalog.models.get(model).map_or(0, |spec| spec.load_ms);
-    let mut found = Found::default();
+    let mut state = SearchState::default();
     for endpoint in candidates(daemon, model, excluded) {
-        match ask(daemon, call, model, &endpoint, Some(load_ms)).await {
-            Asked::Granted(permit) => return Ok(permit),
-            answer => found.note(daemon, answer, model, endpoint),
+        match request_permit(daemon, call, model, &endpoint, Some(load_ms)).await {
+            PermitOutcome::Granted(permit) => return Ok(permit),
+            answer => state.record(daemon, answer, model, endpoint),
         }
     }
-    if let Some((_, endpoint)) = found.least_busy.take() {
-        match ask(daemon, call, model, &endpoint, None).await {
-            Asked::Granted(permit) => return Ok(permit),
-            answer => found.note(daemon, answer, model, endpoint),
+    if let Some((_, endpoint)) = state.least_busy.take() {
+        match request_permit(daemon, call, model, &endpoint, None).await {
+            PermitOutcome::Granted(permit) => return Ok(permit),
+            answer => state.record(daemon, answer, model, endpoint),
         }
     }
-    Err(found)
+    Err(state)
 }
 
-async fn ask(
+async fn request_permit(
     daemon: &Arc<Daemon>,
     call: &Call,
     model: &ModelName,
     endpoint: &EndpointName,
-    patience_ms: Option<u64>,
-) -> Asked {
+    wait_limit_ms: Option<u64>,
+) -> PermitOutcome {
     let (tenant, urgency, deadline) = (&call.tenant, call.urgency, call.deadline);
-    let wish = Wish { model, tenant, urgency, deadline, patience_ms };
-    let asked = asking::ask(daemon, endpoint, wish).await;
+    let params = PermitParams { model, tenant, urgency, deadline, wait_limit_ms };
+    let outcome = permit_client::request_permit(daemon, endpoint, params).await;
     let now_ms = daemon.now_ms();
-    daemon.traffic().places.note_owner(endpoint, !matches!(asked, Asked::NoOwner), now_ms);
-    asked
+    daemon.traffic().placement_hints.record_owner_answer(
+        endpoint,
+        !matches!(outcome, PermitOutcome::NoOwner),
+        now_ms,
+    );
+    outcome
 }
 
 /// Candidates in order: those with a bad record later, and last those that lately
@@ -116,33 +120,43 @@
         excluded.contains(endpoint) || health.is_some_and(|health| health.is_avoided(now_ms))
     };
     let all = routing.config.catalog.candidates(model).iter();
-    let staying = all.filter(|endpoint| !routing.leaving.contains(endpoint.as_str()));
-    let mut ordered: Vec<EndpointName> = staying.cloned().collect();
+    let usable = all.filter(|endpoint| !routing.draining.contains(endpoint.as_str()));
+    let mut ordered: Vec<EndpointName> = usable.cloned().collect();
     ordered.sort_by_key(|endpoint| {
-        (traffic.places.is_known_not_placed(model, endpoint, now_ms), is_avoided(endpoint))
+        (
+            traffic.placement_hints.was_reported_not_placed(model, endpoint, now_ms),
+            is_avoided(endpoint),
+        )
     });
     ordered
 }
 
-impl Found {
-    fn note(&mut self, daemon: &Daemon, asked: Asked, model: &ModelName, endpoint: EndpointName) {
+impl SearchState {
+    fn record(
+        &mut self,
+        daemon: &Daemon,
+        outcome: PermitOutcome,
+        model: &ModelName,
+        endpoint: EndpointName,
+    ) {
         let now_ms = daemon.now_ms();
-        let answer = match asked {
-            Asked::Answered(answer) => answer,
-            Asked::Granted(_) => return,
-            Asked::NoOwner => {
-                self.lost_owner |= daemon.traffic().places.lost_owner_lately(&endpoint, now_ms);
+        let answer = match outcome {
+            PermitOutcome::Declined(answer) => answer,
+            PermitOutcome::Granted(_) => return,
+            PermitOutcome::NoOwner => {
+                self.has_lost_owner |=
+                    daemon.traffic().placement_hints.lost_owner_recently(&endpoint, now_ms);
                 return;
             }
         };
-        self.any_owner = true;
+        self.has_reached_owner = true;
         match answer {
             WireAnswer::NotPlaced => {
-                daemon.traffic().places.note_not_placed(model, &endpoint, now_ms);
+                daemon.traffic().placement_hints.record_not_placed(model, &endpoint, now_ms);
             }
             WireAnswer::Busy { wait_ms } => {
-                let is_less = self.least_busy.as_ref().is_none_or(|(least, _)| wait_ms < *least);
-                if is_less {
+                let is_shorter = self.least_busy.as_ref().is_none_or(|(least, _)| wait_ms < *least);
+                if is_shorter {
                     self.least_busy = Some((wait_ms, endpoint));
                 }
             }
@@ -161,24 +175,25 @@
         if is_refused {
             return false;
         }
-        let limit = if self.lost_owner { OWNER_SEARCH } else { PLACE_SEARCH };
+        let limit = if self.has_lost_owner { OWNER_SEARCH } else { PLACEMENT_SEARCH };
         searched < limit
     }
 
     fn into_failure(self, model: &ModelName) -> Failure {
         if let Some((retry_after_ms, reason)) = self.refusal {
-            return refusal(reason, model).after_ms(retry_after_ms);
+            return refusal_failure(reason, model).with_retry_after_ms(retry_after_ms);
         }
-        if self.any_owner && !self.lost_owner {
+        if self.has_reached_owner && !self.has_lost_owner {
             let message = format!("model `{model}` has no place yet; it is being decided");
-            return Failure::not_run(503, "not_placed", message).after_ms(NOT_PLACED_RETRY_MS);
+            return Failure::not_run(503, "not_placed", message)
+                .with_retry_after_ms(NOT_PLACED_RETRY_MS);
         }
         let message = format!("no daemon in charge of an engine for `{model}` can be reached");
-        Failure::not_run(503, "no_owner", message).after_ms(NO_OWNER_RETRY_MS)
+        Failure::not_run(503, "no_owner", message).with_retry_after_ms(NO_OWNER_RETRY_MS)
     }
 }
 
-fn refusal(reason: WireRefusal, model: &ModelName) -> Failure {
+fn refusal_failure(reason: WireRefusal, model: &ModelName) -> Failure {
     let (status, code, what) = match reason {
         WireRefusal::DeadlineTooClose => {
             (503, "deadline_too_close", "cannot be served by the deadline")
--- a/crates/trestled/src/entry/engine_call.rs
+++ b/crates/trestled/src/entry/engine_call.rs
@@ -6,9 +6,9 @@
     InFlight,
     call::Call,
     model::Completion,
-    sse::{Event, Events},
+    sse::{EventKind, EventReader},
 };
-use crate::{asking::Permit, daemon::Daemon};
+use crate::{daemon::Daemon, permit_client::Permit};
 use async_channel::Sender;
 use futures_lite::{FutureExt, StreamExt};
 use futures_util::TryStreamExt;
@@ -20,14 +20,14 @@
 use trillium_client::Conn;
 
 /// Parts of a stream that may wait for a slow caller.
-const PARTS_AHEAD: usize = 16;
+const MAX_BUFFERED_PARTS: usize = 16;
 /// Largest whole answer of an engine.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
 /// What sending has led to.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// The whole answer.
-    Whole { content_type: String, body: Vec<u8> },
+    Complete { content_type: String, body: Vec<u8> },
     /// An answer that comes in parts, the first of which is there.
     Stream(Body),
     /// The engine did not run the request.
@@ -37,7 +37,7 @@
     /// The engine says that the request is wrong.
     Rejected { status: u16, message: String },
     /// The deadline came first.
-    Late,
+    DeadlinePassed,
 }
 
 /// Sends the request; the permit is given back at the end of the answer.
@@ -47,34 +47,34 @@
     completion: &Completion,
     permit: Permit,
     in_flight: InFlight,
-) -> Sent {
+) -> SendOutcome {
     let Some(url) = call.config.engine_urls.get(&permit.endpoint) else {
-        return Sent::NotRun("the engine is no longer declared".to_owned());
+        return SendOutcome::NotRun("the engine is no longer declared".to_owned());
     };
     if !permit.is_usable() {
-        return Sent::NotRun("the permit is too old to be used".to_owned());
+        return SendOutcome::NotRun("the permit is too old to be used".to_owned());
     }
     let url = format!("{url}{}", completion.path);
-    let late = async {
+    let timed_out = async {
         Timer::after(call.time_left()).await;
-        Sent::Late
+        SendOutcome::DeadlinePassed
     };
     let sending = async {
         let answered = match request(daemon, call, completion, &url).await {
             Ok(answered) => answered,
-            Err(error) => return unreachable(&error),
+            Err(error) => return connection_failure(&error),
         };
         match answered.status().map_or(0, |status| status as u16) {
-            200 if completion.is_stream => stream(call, answered, permit, in_flight).await,
-            200 => whole(call, answered).await,
-            409 => Sent::NotRun("the engine does not have the model loaded".to_owned()),
+            200 if completion.is_stream => start_stream(call, answered, permit, in_flight).await,
+            200 => read_complete(call, answered).await,
+            409 => SendOutcome::NotRun("the engine does not have the model loaded".to_owned()),
             status @ 400..=499 => {
-                Sent::Rejected { status, message: format!("the engine answered {status}") }
+                SendOutcome::Rejected { status, message: format!("the engine answered {status}") }
             }
-            status => Sent::Failed(format!("the engine answered {status}")),
+            status => SendOutcome::Failed(format!("the engine answered {status}")),
         }
     };
-    sending.or(late).await
+    sending.or(timed_out).await
 }
 
 async fn request(
@@ -84,7 +84,7 @@
     url: &str,
 ) -> trillium_client::Result<Conn> {
     let mut conn = daemon
-        .engine_traffic
+        .engine_client
         .post(url)
         .with_request_header("content-type", "application/json")
         .with_request_header(headers::REQUEST_ID, call.request_id.clone())
@@ -96,39 +96,39 @@
     conn.await
 }
 
-fn unreachable(error: &trillium_client::Error) -> Sent {
-    if is_refused(error) {
-        return Sent::NotRun("the engine does not accept connections".to_owned());
+fn connection_failure(error: &trillium_client::Error) -> SendOutcome {
+    if is_connection_refused(error) {
+        return SendOutcome::NotRun("the engine does not accept connections".to_owned());
     }
-    Sent::Failed(format!("the connection to the engine broke: {error}"))
+    SendOutcome::Failed(format!("the connection to the engine broke: {error}"))
 }
 
 /// Whether the connection was refused, so that nothing can have been sent.
-pub(crate) fn is_refused(error: &trillium_client::Error) -> bool {
+pub(crate) fn is_connection_refused(error: &trillium_client::Error) -> bool {
     match error {
         trillium_client::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
         _ => false,
     }
 }
 
-async fn whole(call: &Call, mut conn: Conn) -> Sent {
+async fn read_complete(call: &Call, mut conn: Conn) -> SendOutcome {
     if conn.response_headers().get_str(headers::REQUEST_ID) != Some(call.request_id.as_str()) {
-        return Sent::Failed("the answer belongs to another request".to_owned());
+        return SendOutcome::Failed("the answer belongs to another request".to_owned());
     }
     let content_type = content_type_of(&conn);
     let body = conn.response_body().with_max_len(MAX_ANSWER_BYTES).read_bytes().await;
     let body = match body {
         Ok(body) => body,
-        Err(error) => return Sent::Failed(format!("the answer broke off: {error}")),
+        Err(error) => return SendOutcome::Failed(format!("the answer broke off: {error}")),
     };
     let Ok(content) = serde_json::from_slice::<Value>(&body) else {
-        return Sent::Failed("the answer is cut or not JSON".to_owned());
+        return SendOutcome::Failed("the answer is cut or not JSON".to_owned());
     };
     if content["id"].as_str() != Some(call.request_id.as_str()) {
-        return Sent::Failed("the answer belongs to another request".to_owned());
+        return SendOutcome::Failed("the answer belongs to another request".to_owned());
     }
     conn.recycle().await;
-    Sent::Whole { content_type, body }
+    SendOutcome::Complete { content_type, body }
 }
 
 fn content_type_of(conn: &Conn) -> String {
@@ -137,64 +137,68 @@
 }
 
 /// Waits for the first part, so that a failure before it can still be retried.
-async fn stream(call: &Call, conn: Conn, permit: Permit, in_flight: InFlight) -> Sent {
-    let (parts, received) = async_channel::bounded(PARTS_AHEAD);
+async fn start_stream(call: &Call, conn: Conn, permit: Permit, in_flight: InFlight) -> SendOutcome {
+    let (parts, received) = async_channel::bounded(MAX_BUFFERED_PARTS);
     let request_id = call.request_id.clone();
     let deadline = call.deadline;
-    let pumping = async move {
-        let late = async {
+    let forwarding = async move {
+        let timed_out = async {
             Timer::at(deadline).await;
-            Pumped::Broken("the deadline came before the end of the answer".to_owned())
+            StreamEnd::Aborted("the deadline came before the end of the answer".to_owned())
         };
-        let pumped = pump(conn, &request_id, &parts).or(late).await;
-        if let Pumped::Broken(message) = pumped {
+        let end = forward_events(conn, &request_id, &parts).or(timed_out).await;
+        if let StreamEnd::Aborted(message) = end {
             let _ = parts.send(Err(message)).await;
         }
         drop(permit);
         drop(in_flight);
     };
-    smol::spawn(pumping).detach();
+    smol::spawn(forwarding).detach();
     let first = match received.recv().await {
         Ok(Ok(first)) => first,
-        Ok(Err(message)) => return Sent::Failed(message),
-        Err(_) => return Sent::Failed("the answer ended before it began".to_owned()),
+        Ok(Err(message)) => return SendOutcome::Failed(message),
+        Err(_) => return SendOutcome::Failed("the answer ended before it began".to_owned()),
     };
     let request_id = call.request_id.clone();
-    let rest =
-        received.map(move |part| Ok(part.unwrap_or_else(|message| cut(&message, &request_id))));
+    let rest = received
+        .map(move |part| Ok(part.unwrap_or_else(|message| error_event(&message, &request_id))));
     let all = futures_lite::stream::once(Ok::<_, io::Error>(first)).chain(rest);
-    Sent::Stream(Body::new_streaming(Box::pin(all).into_async_read(), None))
+    SendOutcome::Stream(Body::new_streaming(Box::pin(all).into_async_read(), None))
 }
 
-enum Pumped {
+enum StreamEnd {
     Done,
-    Broken(String),
+    Aborted(String),
 }
 
 /// Passes events on as long as they belong to the request.
-async fn pump(mut conn: Conn, request_id: &str, parts: &Sender<Result<Vec<u8>, String>>) -> Pumped {
-    let mut events = Events::new(conn.response_body());
+async fn forward_events(
+    mut conn: Conn,
+    request_id: &str,
+    parts: &Sender<Result<Vec<u8>, String>>,
+) -> StreamEnd {
+    let mut events = EventReader::new(conn.response_body());
     loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => return Pumped::Broken("the answer broke off".to_owned()),
-            Err(error) => return Pumped::Broken(format!("the answer broke off: {error}")),
+            Ok(None) => return StreamEnd::Aborted("the answer broke off".to_owned()),
+            Err(error) => return StreamEnd::Aborted(format!("the answer broke off: {error}")),
         };
-        let is_last = match event.check(request_id) {
-            Event::Part => false,
-            Event::Last => true,
-            Event::Foreign => {
-                return Pumped::Broken("a part belongs to another request".to_owned());
+        let is_last = match event.classify(request_id) {
+            EventKind::Part => false,
+            EventKind::Last => true,
+            EventKind::Foreign => {
+                return StreamEnd::Aborted("a part belongs to another request".to_owned());
             }
         };
         if parts.send(Ok(event.into_bytes())).await.is_err() || is_last {
-            return Pumped::Done;
+            return StreamEnd::Done;
         }
     }
 }
 
 /// The event that tells a caller that the answer is not whole.
-fn cut(message: &str, request_id: &str) -> Vec<u8> {
+fn error_event(message: &str, request_id: &str) -> Vec<u8> {
     let failure = super::Failure::unknown(502, "answer_cut", message);
     format!("event: error\ndata: {}\n\n", failure.to_json(request_id)).into_bytes()
 }
--- a/crates/trestled/src/entry/failure.rs
+++ b/crates/trestled/src/entry/failure.rs
@@ -40,7 +40,7 @@
     }
 
     /// The same, with the time to come back.
-    pub(crate) fn after_ms(mut self, retry_after_ms: u64) -> Self {
+    pub(crate) fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
--- a/crates/trestled/src/entry/model.rs
+++ b/crates/trestled/src/entry/model.rs
@@ -3,10 +3,10 @@
 use super::{
     Failure, InFlight, body,
     call::Call,
-    engine_call::{self, Sent},
-    permits,
+    endpoint_search,
+    engine_call::{self, SendOutcome},
 };
-use crate::{asking::Permit, daemon::Daemon};
+use crate::{daemon::Daemon, permit_client::Permit};
 use serde_json::Value;
 use std::{collections::BTreeSet, sync::Arc, time::Instant};
 use trestle_config::Target;
@@ -14,7 +14,7 @@
 use trillium::{Body, Conn};
 
 /// Times one request is sent to an engine at most.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// When to come back after engines have failed.
 const FAILED_RETRY_MS: u64 = 1_000;
 
@@ -32,14 +32,14 @@
     content_type: String,
     body: Body,
     waited_ms: u64,
-    cold: bool,
+    is_cold: bool,
 }
 
 /// Answers a completion request.
 pub(crate) async fn complete(daemon: &Arc<Daemon>, call: &Call, mut conn: Conn) -> Conn {
-    let (completion, _body) = match read(daemon, call, &mut conn).await {
+    let (completion, _body) = match read_completion(daemon, call, &mut conn).await {
         Ok(read) => read,
-        Err(failure) => return refuse(daemon, call, conn, failure),
+        Err(failure) => return answer_failure(daemon, call, conn, failure),
     };
     let answered = conn.cancel_on_disconnect(serve(daemon, call, &completion)).await;
     match answered {
@@ -48,9 +48,9 @@
             .with_response_header(headers::REQUEST_ID, call.request_id.clone())
             .with_response_header(headers::OUTCOME, "done")
             .with_response_header(headers::WAITED_MS, answer.waited_ms.to_string())
-            .with_response_header(headers::COLD, answer.cold.to_string())
+            .with_response_header(headers::COLD, answer.is_cold.to_string())
             .ok(answer.body),
-        Some(Err(failure)) => refuse(daemon, call, conn, failure),
+        Some(Err(failure)) => answer_failure(daemon, call, conn, failure),
         None => {
             tracing::debug!("entry: Caller of request {} has gone.", call.request_id);
             conn
@@ -58,13 +58,13 @@
     }
 }
 
-fn refuse(daemon: &Daemon, call: &Call, conn: Conn, failure: Failure) -> Conn {
-    daemon.metrics.refused(call.tenant.as_str(), failure.code);
+fn answer_failure(daemon: &Daemon, call: &Call, conn: Conn, failure: Failure) -> Conn {
+    daemon.metrics.record_refusal(call.tenant.as_str(), failure.code);
     failure.into_answer(conn, &call.request_id)
 }
 
 /// Reads the request; its body counts among all bodies as long as it is kept.
-async fn read(
+async fn read_completion(
     daemon: &Arc<Daemon>,
     call: &Call,
     conn: &mut Conn,
@@ -93,21 +93,23 @@
     daemon.traffic().retries.deposit();
     let mut excluded = BTreeSet::new();
     let mut last = Failure::not_run(503, "engine_failed", "the engine could not serve");
-    for try_number in 1..=MAX_TRIES {
-        if try_number > 1 && !may_retry(daemon) {
+    for attempt in 1..=MAX_ATTEMPTS {
+        if attempt > 1 && !try_withdraw_retry(daemon) {
             break;
         }
-        let asked = Instant::now();
-        let permit = permits::acquire(daemon, call, &completion.target.model, &excluded).await?;
-        let waited = asked.elapsed();
-        let cold = permit.cold;
+        let requested = Instant::now();
+        let permit =
+            endpoint_search::acquire_permit(daemon, call, &completion.target.model, &excluded)
+                .await?;
+        let waited = requested.elapsed();
+        let is_cold = permit.is_cold;
         let endpoint = permit.endpoint.clone();
         let tenant = call.tenant.as_str();
-        daemon.metrics.wait(tenant, &call.class, cold, waited.as_secs_f64() * 1e3);
+        daemon.metrics.record_wait(tenant, &call.class, is_cold, waited.as_secs_f64() * 1e3);
         let (content_type, body) = match send(daemon, call, completion, permit).await {
             Ok(answer) => answer,
-            Err(Tried::Final(failure)) => return Err(failure),
-            Err(Tried::Again(failure)) => {
+            Err(AttemptError::Final(failure)) => return Err(failure),
+            Err(AttemptError::Retryable(failure)) => {
                 tracing::warn!("entry: {endpoint} failed: {}.", failure.message);
                 excluded.insert(endpoint);
                 last = failure;
@@ -115,23 +117,23 @@
             }
         };
         let waited_ms = waited.as_millis() as u64;
-        return Ok(Answer { content_type, body, waited_ms, cold });
+        return Ok(Answer { content_type, body, waited_ms, is_cold });
     }
-    Err(last.after_ms(FAILED_RETRY_MS))
+    Err(last.with_retry_after_ms(FAILED_RETRY_MS))
 }
 
-fn may_retry(daemon: &Daemon) -> bool {
-    let is_allowed = daemon.traffic().retries.try_withdraw();
-    if is_allowed {
-        daemon.metrics.retry();
+fn try_withdraw_retry(daemon: &Daemon) -> bool {
+    let is_withdrawn = daemon.traffic().retries.try_withdraw();
+    if is_withdrawn {
+        daemon.metrics.record_retry();
     }
-    is_allowed
+    is_withdrawn
 }
 
 /// A try that gave no answer.
-enum Tried {
+enum AttemptError {
     /// Another one may.
-    Again(Failure),
+    Retryable(Failure),
     /// Another one must not.
     Final(Failure),
 }
@@ -141,36 +143,36 @@
     call: &Call,
     completion: &Completion,
     permit: Permit,
-) -> Result<(String, Body), Tried> {
+) -> Result<(String, Body), AttemptError> {
     let endpoint = permit.endpoint.clone();
     let in_flight = InFlight::new(daemon);
-    let sent = engine_call::send(daemon, call, completion, permit, in_flight).await;
+    let outcome = engine_call::send(daemon, call, completion, permit, in_flight).await;
     let now_ms = daemon.now_ms();
     let mut traffic = daemon.traffic();
     let health = traffic.health.entry(endpoint.clone()).or_default();
-    match sent {
-        Sent::Whole { content_type, body } => {
+    match outcome {
+        SendOutcome::Complete { content_type, body } => {
             health.record_success();
             Ok((content_type, Body::new_static(body)))
         }
-        Sent::Stream(body) => {
+        SendOutcome::Stream(body) => {
             health.record_success();
             Ok(("text/event-stream".to_owned(), body))
         }
-        Sent::NotRun(message) => {
-            Err(Tried::Again(Failure::not_run(503, "engine_not_ready", message)))
+        SendOutcome::NotRun(message) => {
+            Err(AttemptError::Retryable(Failure::not_run(503, "engine_not_ready", message)))
         }
-        Sent::Failed(message) => {
+        SendOutcome::Failed(message) => {
             health.record_failure(now_ms);
-            Err(Tried::Again(Failure::unknown(502, "engine_failed", message)))
+            Err(AttemptError::Retryable(Failure::unknown(502, "engine_failed", message)))
         }
-        Sent::Rejected { status, message } => {
-            Err(Tried::Final(Failure::not_run(status, "engine_rejected", message)))
+        SendOutcome::Rejected { status, message } => {
+            Err(AttemptError::Final(Failure::not_run(status, "engine_rejected", message)))
         }
-        Sent::Late => {
+        SendOutcome::DeadlinePassed => {
             health.record_failure(now_ms);
             let message = "no whole answer came by the deadline; the request may have run";
-            Err(Tried::Final(Failure::unknown(504, "deadline_passed", message)))
+            Err(AttemptError::Final(Failure::unknown(504, "deadline_passed", message)))
         }
     }
 }
--- a/crates/trestled/src/entry/choice.rs
+++ b/crates/trestled/src/entry/server_selection.rs
@@ -6,7 +6,7 @@
 use trestle_core::names::EndpointName;
 
 /// A place at a server, given back when it is dropped.
-pub(crate) struct Place {
+pub(crate) struct ServerSlot {
     pub(crate) endpoint: EndpointName,
     pub(crate) url: String,
     daemon: Arc<Daemon>,
@@ -16,20 +16,20 @@
 ///
 /// Servers with a good record come first, then those of the daemon's own
 /// domain, then those to which it has sent least.
-pub(crate) fn order(daemon: &Daemon, service: &Service) -> Vec<EndpointName> {
+pub(crate) fn ranked(daemon: &Daemon, service: &Service) -> Vec<EndpointName> {
     let routing = daemon.routing();
     let now_ms = daemon.now_ms();
     let traffic = daemon.traffic();
     let mut servers: Vec<_> = service
         .endpoints
         .iter()
-        .filter(|(name, _)| !routing.leaving.contains(name.as_str()))
+        .filter(|(name, _)| !routing.draining.contains(name.as_str()))
         .map(|(name, server)| {
             let health = traffic.health.get(name);
             let is_avoided = health.is_some_and(|health| health.is_avoided(now_ms));
-            let is_far = server.domain.as_str() != daemon.settings.domain;
-            let busy = traffic.by_endpoint.get(name).copied().unwrap_or(0);
-            (is_avoided, busy >= service.slots, is_far, busy, name)
+            let is_remote = server.domain.as_str() != daemon.settings.domain;
+            let in_flight = traffic.calls_by_endpoint.get(name).copied().unwrap_or(0);
+            (is_avoided, in_flight >= service.slots, is_remote, in_flight, name)
         })
         .collect();
     servers.sort();
@@ -37,20 +37,24 @@
 }
 
 /// Takes a place at a server, if it has one left for this daemon.
-pub(crate) fn take(daemon: &Arc<Daemon>, service: &Service, name: &EndpointName) -> Option<Place> {
+pub(crate) fn acquire_slot(
+    daemon: &Arc<Daemon>,
+    service: &Service,
+    name: &EndpointName,
+) -> Option<ServerSlot> {
     let url = service.endpoints.get(name)?.url.clone();
     let mut traffic = daemon.traffic();
-    let busy = traffic.by_endpoint.entry(name.clone()).or_default();
-    if *busy >= service.slots {
+    let in_flight = traffic.calls_by_endpoint.entry(name.clone()).or_default();
+    if *in_flight >= service.slots {
         return None;
     }
-    *busy += 1;
-    Some(Place { endpoint: name.clone(), url, daemon: Arc::clone(daemon) })
+    *in_flight += 1;
+    Some(ServerSlot { endpoint: name.clone(), url, daemon: Arc::clone(daemon) })
 }
 
-impl Place {
+impl ServerSlot {
     /// Notes whether the server gave a whole answer.
-    pub(crate) fn note(&self, succeeded: bool) {
+    pub(crate) fn record_outcome(&self, succeeded: bool) {
         let now_ms = self.daemon.now_ms();
         let mut traffic = self.daemon.traffic();
         let health = traffic.health.entry(self.endpoint.clone()).or_default();
@@ -62,10 +66,10 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ServerSlot {
     fn drop(&mut self) {
-        if let Some(busy) = self.daemon.traffic().by_endpoint.get_mut(&self.endpoint) {
-            *busy = busy.saturating_sub(1);
+        if let Some(in_flight) = self.daemon.traffic().calls_by_endpoint.get_mut(&self.endpoint) {
+            *in_flight = in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/trestled/src/entry/service.rs
+++ b/crates/trestled/src/entry/service.rs
@@ -3,11 +3,11 @@
 use super::{
     Failure, body,
     call::Call,
-    choice,
-    service_call::{self, Called, ServiceAnswer, ServiceCall},
+    server_selection,
+    service_call::{self, CallOutcome, ServiceAnswer, ServiceCall},
 };
 use crate::{
-    claims::{self, ClaimEnd, ClaimedCall},
+    claims::{self, ClaimOutcome, ClaimedCall},
     daemon::Daemon,
 };
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use trillium::{Conn, Status};
 
 /// Times one call that may be repeated is sent at most.
-const MAX_TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// When to come back after servers have failed.
 const FAILED_RETRY_MS: u64 = 1_000;
 /// When to come back while the platform does not answer.
@@ -38,7 +38,7 @@
                 .halt()
         }
         Err(failure) => {
-            daemon.metrics.refused(call.tenant.as_str(), failure.code);
+            daemon.metrics.record_refusal(call.tenant.as_str(), failure.code);
             failure.into_answer(conn, &call.request_id)
         }
     }
@@ -61,7 +61,7 @@
     let path = if query.is_empty() { format!("/{path}") } else { format!("/{path}?{query}") };
     let repeated = conn.request_headers().get_str(headers::REPEATED);
     let is_repeated = repeated.is_some_and(|text| text == "true");
-    let key = if is_repeatable { None } else { Some(key_of(service, conn)?) };
+    let key = if is_repeatable { None } else { Some(idempotency_key_of(service, conn)?) };
     let content_type = conn.request_headers().get_str("content-type").map(str::to_owned);
     let body = body::read(daemon, conn).await?;
     let service_call = ServiceCall {
@@ -73,15 +73,15 @@
         key,
     };
     match &service_call.key {
-        None => repeatable(daemon, call, service, &service_call).await,
+        None => send_repeatable(daemon, call, service, &service_call).await,
         Some((_, key)) => {
             let row = claim_key(name, call.tenant.as_str(), key);
-            once(daemon, call, service, service_call.clone(), row, is_repeated).await
+            send_once(daemon, call, service, service_call.clone(), row, is_repeated).await
         }
     }
 }
 
-fn key_of(service: &Service, conn: &Conn) -> Result<(String, String), Failure> {
+fn idempotency_key_of(service: &Service, conn: &Conn) -> Result<(String, String), Failure> {
     let header = service.idempotency_header.as_str();
     let key = conn.request_headers().get_str(header).unwrap_or("");
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
@@ -95,7 +95,7 @@
     Err(Failure::not_run(400, "idempotency_key_missing", message))
 }
 
-async fn repeatable(
+async fn send_repeatable(
     daemon: &Arc<Daemon>,
     call: &Call,
     service: &Service,
@@ -103,24 +103,26 @@
 ) -> Result<ServiceAnswer, Failure> {
     daemon.traffic().retries.deposit();
     let mut last = busy();
-    for (index, endpoint) in choice::order(daemon, service).into_iter().take(MAX_TRIES).enumerate()
+    for (index, endpoint) in
+        server_selection::ranked(daemon, service).into_iter().take(MAX_ATTEMPTS).enumerate()
     {
-        let Some(place) = choice::take(daemon, service, &endpoint) else { continue };
+        let Some(slot) = server_selection::acquire_slot(daemon, service, &endpoint) else {
+            continue;
+        };
         if index > 0 && !daemon.traffic().retries.try_withdraw() {
             break;
         }
         let limit = call.time_left();
-        last = match service_call::send(&daemon.service_traffic, &place, service_call, limit).await
-        {
-            Called::Answered(answer) => return Ok(answer),
-            Called::NotSent(message) => Failure::not_run(503, "service_unreachable", message),
-            Called::Lost(message) => Failure::unknown(502, "service_failed", message),
+        last = match service_call::send(&daemon.service_client, &slot, service_call, limit).await {
+            CallOutcome::Answered(answer) => return Ok(answer),
+            CallOutcome::NotSent(message) => Failure::not_run(503, "service_unreachable", message),
+            CallOutcome::AnswerLost(message) => Failure::unknown(502, "service_failed", message),
         };
         if call.time_left().is_zero() {
             break;
         }
     }
-    Err(last.after_ms(FAILED_RETRY_MS))
+    Err(last.with_retry_after_ms(FAILED_RETRY_MS))
 }
 
 fn busy() -> Failure {
@@ -128,7 +130,7 @@
     Failure::not_run(503, "service_busy", message)
 }
 
-async fn once(
+async fn send_once(
     daemon: &Arc<Daemon>,
     call: &Call,
     service: &Service,
@@ -144,22 +146,24 @@
         is_repeated,
     };
     match claims::run(daemon, claimed).await {
-        ClaimEnd::Answered(answer) => Ok(answer),
-        ClaimEnd::NotRun if daemon.platform_is_down() => {
+        ClaimOutcome::Answered(answer) => Ok(answer),
+        ClaimOutcome::NotRun if daemon.platform_is_down() => {
             let message = "the platform does not answer, so the call was not claimed and not \
                            sent; if the key was sent before, that may have run";
-            Err(Failure::not_run(503, "platform_down", message).after_ms(PLATFORM_RETRY_MS))
+            Err(Failure::not_run(503, "platform_down", message)
+                .with_retry_after_ms(PLATFORM_RETRY_MS))
         }
-        ClaimEnd::NotRun => {
+        ClaimOutcome::NotRun => {
             let message = "the call was not sent; send it again with the same key";
-            Err(Failure::not_run(503, "not_sent", message).after_ms(FAILED_RETRY_MS))
+            Err(Failure::not_run(503, "not_sent", message).with_retry_after_ms(FAILED_RETRY_MS))
         }
-        ClaimEnd::Unknown => {
+        ClaimOutcome::Unknown => {
             let message = "the call may have run; ask again with the same key, \
                            which never runs it a second time";
-            Err(Failure::unknown(504, "outcome_unknown", message).after_ms(FAILED_RETRY_MS))
+            Err(Failure::unknown(504, "outcome_unknown", message)
+                .with_retry_after_ms(FAILED_RETRY_MS))
         }
-        ClaimEnd::OtherCall => {
+        ClaimOutcome::OtherCall => {
             let message = "the key stands for a call with another method, path or body; \
                            give each call a key of its own";
             Err(Failure::not_run(409, "idempotency_key_reused", message))
--- a/crates/trestled/src/entry/service_call.rs
+++ b/crates/trestled/src/entry/service_call.rs
@@ -1,6 +1,6 @@
 //! Sending a call to a server of a plain service.
 
-use super::{choice::Place, engine_call::is_refused};
+use super::{engine_call::is_connection_refused, server_selection::ServerSlot};
 use futures_lite::FutureExt;
 use std::time::Duration;
 use trestle_wire::headers;
@@ -32,47 +32,47 @@
 }
 
 /// What sending has led to.
-pub(crate) enum Called {
+pub(crate) enum CallOutcome {
     Answered(ServiceAnswer),
     /// Nothing was sent.
     NotSent(String),
     /// The call may have run, and its answer is lost.
-    Lost(String),
+    AnswerLost(String),
 }
 
 /// Sends a call once.
 pub(crate) async fn send(
     client: &Client,
-    place: &Place,
+    slot: &ServerSlot,
     call: &ServiceCall,
     limit: Duration,
-) -> Called {
-    let late = async {
+) -> CallOutcome {
+    let timed_out = async {
         smol::Timer::after(limit).await;
-        Called::Lost("no answer came in time".to_owned())
+        CallOutcome::AnswerLost("no answer came in time".to_owned())
     };
-    let called = exchange(client, place, call).or(late).await;
-    place.note(matches!(called, Called::Answered(_)));
-    called
+    let outcome = exchange(client, slot, call).or(timed_out).await;
+    slot.record_outcome(matches!(outcome, CallOutcome::Answered(_)));
+    outcome
 }
 
-async fn exchange(client: &Client, place: &Place, call: &ServiceCall) -> Called {
-    let conn = match request(client, place, call).await {
+async fn exchange(client: &Client, slot: &ServerSlot, call: &ServiceCall) -> CallOutcome {
+    let conn = match request(client, slot, call).await {
         Ok(conn) => conn,
-        Err(error) if is_refused(&error) => {
-            return Called::NotSent(format!("{} does not accept connections", place.endpoint));
+        Err(error) if is_connection_refused(&error) => {
+            return CallOutcome::NotSent(format!("{} does not accept connections", slot.endpoint));
         }
-        Err(error) => return Called::Lost(format!("the connection broke: {error}")),
+        Err(error) => return CallOutcome::AnswerLost(format!("the connection broke: {error}")),
     };
-    answer_of(conn, &call.request_id).await
+    read_answer(conn, &call.request_id).await
 }
 
 async fn request(
     client: &Client,
-    place: &Place,
+    slot: &ServerSlot,
     call: &ServiceCall,
 ) -> trillium_client::Result<Conn> {
-    let url = format!("{}{}", place.url, call.path);
+    let url = format!("{}{}", slot.url, call.path);
     let mut conn = client
         .build_conn(call.method, url)
         .with_request_header(headers::REQUEST_ID, call.request_id.clone())
@@ -86,7 +86,7 @@
     conn.await
 }
 
-async fn answer_of(mut conn: Conn, request_id: &str) -> Called {
+async fn read_answer(mut conn: Conn, request_id: &str) -> CallOutcome {
     let status = conn.status().map_or(0, |status| status as u16);
     let headers = conn.response_headers();
     let answered_id = headers.get_str(headers::REQUEST_ID).unwrap_or(request_id).to_owned();
@@ -96,14 +96,14 @@
     let expected = body.content_length();
     let body = match body.read_bytes().await {
         Ok(body) => body,
-        Err(error) => return Called::Lost(format!("the answer broke off: {error}")),
+        Err(error) => return CallOutcome::AnswerLost(format!("the answer broke off: {error}")),
     };
     if expected.is_some_and(|length| length != body.len() as u64) {
-        return Called::Lost("the answer broke off".to_owned());
+        return CallOutcome::AnswerLost("the answer broke off".to_owned());
     }
     if answered_id != request_id {
-        return Called::Lost("the answer belongs to another request".to_owned());
+        return CallOutcome::AnswerLost("the answer belongs to another request".to_owned());
     }
     conn.recycle().await;
-    Called::Answered(ServiceAnswer { status, content_type, body })
+    CallOutcome::Answered(ServiceAnswer { status, content_type, body })
 }
--- a/crates/trestled/src/entry/sse.rs
+++ b/crates/trestled/src/entry/sse.rs
@@ -8,11 +8,11 @@
 const MAX_EVENT_BYTES: usize = 1 << 20;
 const READ_BYTES: usize = 8 << 10;
 const END_OF_EVENT: &[u8] = b"\n\n";
-const DATA: &str = "data:";
-const DONE: &str = "[DONE]";
+const DATA_PREFIX: &str = "data:";
+const END_OF_STREAM: &str = "[DONE]";
 
 /// Events as they arrive.
-pub(crate) struct Events<R> {
+pub(crate) struct EventReader<R> {
     reader: R,
     buffer: Vec<u8>,
 }
@@ -21,7 +21,7 @@
 pub(crate) struct RawEvent(Vec<u8>);
 
 /// What an event is to a request.
-pub(crate) enum Event {
+pub(crate) enum EventKind {
     /// A part of its answer.
     Part,
     /// The end of its answer.
@@ -30,7 +30,7 @@
     Foreign,
 }
 
-impl<R: AsyncRead + Unpin> Events<R> {
+impl<R: AsyncRead + Unpin> EventReader<R> {
     pub(crate) fn new(reader: R) -> Self {
         Self { reader, buffer: Vec::new() }
     }
@@ -38,7 +38,7 @@
     /// The next event; `None` at the end.
     pub(crate) async fn next(&mut self) -> io::Result<Option<RawEvent>> {
         loop {
-            if let Some(end) = self.end_of_event() {
+            if let Some(end) = self.event_end() {
                 let rest = self.buffer.split_off(end);
                 return Ok(Some(RawEvent(std::mem::replace(&mut self.buffer, rest))));
             }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn end_of_event(&self) -> Option<usize> {
+    fn event_end(&self) -> Option<usize> {
         let mut windows = self.buffer.windows(END_OF_EVENT.len());
         let start = windows.position(|window| window == END_OF_EVENT)?;
         Some(start + END_OF_EVENT.len())
@@ -63,19 +63,19 @@
 
 impl RawEvent {
     /// What the event is to the request with the id.
-    pub(crate) fn check(&self, request_id: &str) -> Event {
+    pub(crate) fn classify(&self, request_id: &str) -> EventKind {
         let text = String::from_utf8_lossy(&self.0);
         let data: String =
-            text.lines().filter_map(|line| line.strip_prefix(DATA)).map(str::trim).collect();
-        if data == DONE {
-            return Event::Last;
+            text.lines().filter_map(|line| line.strip_prefix(DATA_PREFIX)).map(str::trim).collect();
+        if data == END_OF_STREAM {
+            return EventKind::Last;
         }
         if data.is_empty() {
-            return Event::Part;
+            return EventKind::Part;
         }
         match serde_json::from_str::<Value>(&data) {
-            Ok(content) if content["id"].as_str() == Some(request_id) => Event::Part,
-            _ => Event::Foreign,
+            Ok(content) if content["id"].as_str() == Some(request_id) => EventKind::Part,
+            _ => EventKind::Foreign,
         }
     }
 
--- a/crates/trestled/src/main.rs
+++ b/crates/trestled/src/main.rs
@@ -9,9 +9,9 @@
 //!   ([`peer_server`]) and operators ([`admin`]). They ask the control thread by
 //!   message, and read what they need to know from [`routing`].
 
+mod actions;
 mod admin;
 mod args;
-mod asking;
 mod claims;
 mod clock;
 mod config_watch;
@@ -23,14 +23,14 @@
 mod message;
 mod metrics;
 mod peer_server;
-mod places;
+mod permit_client;
+mod placement_hints;
+mod platform_wire;
 mod routing;
 mod run;
 mod serve;
-mod shell;
 mod status;
 mod stop;
-mod surroundings;
 mod vms_watch;
 
 use crate::{
@@ -44,7 +44,7 @@
 use trestle_entry::logs::Logs;
 
 fn main() -> ExitCode {
-    match start() {
+    match try_main() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("trestled: {error}");
@@ -53,7 +53,7 @@
     }
 }
 
-fn start() -> Result<()> {
+fn try_main() -> Result<()> {
     let Some(args) = Args::from_env()? else { return Ok(()) };
     let settings = args.settings()?;
     if args.check_only {
@@ -61,17 +61,17 @@
         return Ok(());
     }
     match settings {
-        SettingsFile::Own(settings) => run_own(settings),
+        SettingsFile::Own(settings) => run_engine_daemon(settings),
         SettingsFile::Entry(settings) => {
-            let wire = surroundings::platform();
+            let wire = platform_wire::wire();
             trestle_entry::run(settings, args.settings_path, wire).context(EntrySnafu)
         }
     }
 }
 
-fn run_own(settings: Settings) -> Result<()> {
+fn run_engine_daemon(settings: Settings) -> Result<()> {
     let _logs = Logs::start(&settings.log).context(LogsSnafu)?;
-    let (daemon, control) = Daemon::new(settings)?;
-    control::start(Arc::clone(&daemon), control)?;
+    let (daemon, messages) = Daemon::new(settings)?;
+    control::start(Arc::clone(&daemon), messages)?;
     smol::block_on(run::run(daemon))
 }
--- a/crates/trestled/src/message.rs
+++ b/crates/trestled/src/message.rs
@@ -15,9 +15,9 @@
     /// Something happened in one failure domain.
     DomainEvent(DomainName, Event),
     /// An entry daemon asks for a permit.
-    Ask(PermitRequest, Sender<PermitAnswer>),
+    PermitRequest(PermitRequest, Sender<PermitAnswer>),
     /// A peer asks whether this daemon owns an endpoint.
-    Owns(EndpointName, Sender<bool>),
+    OwnershipQuery(EndpointName, Sender<bool>),
     /// An operator asks for the state of the daemon.
-    Status(Sender<Status>),
+    StatusQuery(Sender<Status>),
 }
--- a/crates/trestled/src/metrics.rs
+++ b/crates/trestled/src/metrics.rs
@@ -65,7 +65,13 @@
     }
 
     /// Notes the end of a request.
-    pub(crate) fn request(&self, tenant: &str, class: &str, outcome: &'static str, time_ms: f64) {
+    pub(crate) fn record_request(
+        &self,
+        tenant: &str,
+        class: &str,
+        outcome: &'static str,
+        time_ms: f64,
+    ) {
         let labels = [
             KeyValue::new("tenant", tenant.to_owned()),
             KeyValue::new("class", class.to_owned()),
@@ -75,7 +81,7 @@
     }
 
     /// Notes the time a request waited for its permit.
-    pub(crate) fn wait(&self, tenant: &str, class: &str, is_cold: bool, time_ms: f64) {
+    pub(crate) fn record_wait(&self, tenant: &str, class: &str, is_cold: bool, time_ms: f64) {
         let labels =
             [KeyValue::new("tenant", tenant.to_owned()), KeyValue::new("class", class.to_owned())];
         self.wait_ms.record(time_ms, &labels);
@@ -85,33 +91,33 @@
     }
 
     /// Notes a refusal.
-    pub(crate) fn refused(&self, tenant: &str, code: &'static str) {
+    pub(crate) fn record_refusal(&self, tenant: &str, code: &'static str) {
         let labels = [KeyValue::new("tenant", tenant.to_owned()), KeyValue::new("code", code)];
         self.refused.add(1, &labels);
     }
 
     /// Notes that a request was sent again.
-    pub(crate) fn retry(&self) {
+    pub(crate) fn record_retry(&self) {
         self.retries.add(1, &[]);
     }
 
     /// Notes a read of the table.
-    pub(crate) fn table_read(&self) {
+    pub(crate) fn record_table_read(&self) {
         self.table_reads.add(1, &[]);
     }
 
     /// Notes a write to the table.
-    pub(crate) fn table_write(&self) {
+    pub(crate) fn record_table_write(&self) {
         self.table_writes.add(1, &[]);
     }
 
     /// Notes the configuration in force.
-    pub(crate) fn config_version(&self, version: u64) {
+    pub(crate) fn record_config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
     /// Notes the epoch of the domain.
-    pub(crate) fn epoch(&self, domain: &str, epoch: u64) {
+    pub(crate) fn record_epoch(&self, domain: &str, epoch: u64) {
         self.epoch.record(epoch, &[KeyValue::new("domain", domain.to_owned())]);
     }
 
--- a/crates/trestled/src/peer_server.rs
+++ b/crates/trestled/src/peer_server.rs
@@ -1,10 +1,10 @@
 //! Serves other daemons.
 
 use crate::{
-    asking,
     daemon::Daemon,
     error::{ListenSnafu, Result},
     message::Message,
+    permit_client,
 };
 use async_compat::{Compat, CompatExt};
 use futures_util::StreamExt;
@@ -58,22 +58,22 @@
 struct PeerServer(Arc<Daemon>);
 
 impl Peer for PeerServer {
-    async fn ask(self, _: Context, ask: WireAsk) -> WireAnswer {
-        asking::take_ask(self.0, ask).await
+    async fn ask(self, _: Context, request: WireAsk) -> WireAnswer {
+        permit_client::handle_request(self.0, request).await
     }
 
     async fn release(self, _: Context, endpoint: String, ticket: u64) {
-        self.0.tell(Event::Release(endpoint.into(), Ticket(ticket)));
+        self.0.send_event(Event::Release(endpoint.into(), Ticket(ticket)));
     }
 
     async fn owns(self, _: Context, endpoint: String) -> bool {
         let (reply, answer) = async_channel::bounded(1);
-        self.0.send(Message::Owns(endpoint.into(), reply));
+        self.0.send(Message::OwnershipQuery(endpoint.into(), reply));
         answer.recv().await.unwrap_or(false)
     }
 
     async fn row_changed(self, _: Context, endpoint: String) {
-        self.0.tell(Event::RowChanged(endpoint.into()));
+        self.0.send_event(Event::RowChanged(endpoint.into()));
     }
 
     async fn members(self, _: Context) -> Option<WireMembership> {
@@ -83,8 +83,8 @@
 
     async fn config_after(self, _: Context, version: u64) -> Option<WireConfig> {
         let routing = self.0.routing();
-        let ours = routing.config.catalog.version;
+        let own_version = routing.config.catalog.version;
         let text = routing.config_text.to_string();
-        (ours > version).then_some(WireConfig { version: ours, text })
+        (own_version > version).then_some(WireConfig { version: own_version, text })
     }
 }
--- a/crates/trestled/src/asking.rs
+++ b/crates/trestled/src/permit_client.rs
@@ -22,27 +22,27 @@
 use trestle_wire::peer::{WireAnswer, WireAsk, WireRefusal};
 
 /// Time between two questions to an owner whether it is still there.
-const ALIVE_INTERVAL_MS: u64 = 500;
+const LIVENESS_INTERVAL_MS: u64 = 500;
 /// When a caller should come back, with more time, if its own was over before an owner
 /// could be asked.
-const TOO_CLOSE_RETRY_MS: u64 = 1_000;
+const DEADLINE_RETRY_MS: u64 = 1_000;
 /// Questions without an answer after which an owner counts as lost.
-const LOST_AFTER: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 
 /// What a request asks for.
 #[derive(Clone, Copy)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct PermitParams<'a> {
     pub(crate) model: &'a ModelName,
     pub(crate) tenant: &'a TeamName,
     pub(crate) urgency: u8,
     pub(crate) deadline: Instant,
-    pub(crate) patience_ms: Option<u64>,
+    pub(crate) wait_limit_ms: Option<u64>,
 }
 
 /// A permit, given back when it is dropped.
 pub(crate) struct Permit {
     pub(crate) endpoint: EndpointName,
-    pub(crate) cold: bool,
+    pub(crate) is_cold: bool,
     received: Instant,
     daemon: Arc<Daemon>,
     owner_address: Option<String>,
@@ -50,31 +50,35 @@
 }
 
 /// What became of an ask.
-pub(crate) enum Asked {
+pub(crate) enum PermitOutcome {
     Granted(Permit),
-    Answered(WireAnswer),
+    Declined(WireAnswer),
     /// No owner could be found.
     NoOwner,
 }
 
 /// Asks the owner of an endpoint, whoever that is.
-pub(crate) async fn ask(daemon: &Arc<Daemon>, endpoint: &EndpointName, wish: Wish<'_>) -> Asked {
+pub(crate) async fn request_permit(
+    daemon: &Arc<Daemon>,
+    endpoint: &EndpointName,
+    params: PermitParams<'_>,
+) -> PermitOutcome {
     let owners = daemon.routing().owners(endpoint);
     let mut rank = 0;
     while rank < owners.len().min(usize::from(CHAIN_LENGTH)) {
         let (vm, address) = &owners[rank];
         let ranks_lost = rank as u8;
-        let is_local = *vm == daemon.me;
+        let is_local = *vm == daemon.own_vm;
         let answer = if is_local {
-            ask_here(daemon, endpoint, wish, ranks_lost).await
+            request_locally(daemon, endpoint, params, ranks_lost).await
         } else {
-            ask_peer(daemon, address, endpoint, wish, ranks_lost).await
+            request_from_peer(daemon, address, endpoint, params, ranks_lost).await
         };
         match answer {
             Some(WireAnswer::Granted { ticket, cold }) => {
-                return Asked::Granted(Permit {
+                return PermitOutcome::Granted(Permit {
                     endpoint: endpoint.clone(),
-                    cold,
+                    is_cold: cold,
                     received: Instant::now(),
                     daemon: Arc::clone(daemon),
                     owner_address: (!is_local).then(|| address.clone()),
@@ -85,83 +89,86 @@
                 rank = usize::from(owner);
             }
             // The owner lives, but this daemon cannot reach it.
-            Some(WireAnswer::NotOwner { owner_rank: Some(_) }) => return Asked::NoOwner,
+            Some(WireAnswer::NotOwner { owner_rank: Some(_) }) => return PermitOutcome::NoOwner,
             Some(WireAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
-            Some(answer) => return Asked::Answered(answer),
+            Some(answer) => return PermitOutcome::Declined(answer),
         }
     }
-    if wish.deadline <= Instant::now() {
+    if params.deadline <= Instant::now() {
         // Nobody could be asked in time, which says nothing of the owners.
         let reason = WireRefusal::DeadlineTooClose;
-        return Asked::Answered(WireAnswer::Refused { reason, retry_after_ms: TOO_CLOSE_RETRY_MS });
+        return PermitOutcome::Declined(WireAnswer::Refused {
+            reason,
+            retry_after_ms: DEADLINE_RETRY_MS,
+        });
     }
-    Asked::NoOwner
+    PermitOutcome::NoOwner
 }
 
-fn wire_ask(
+fn wire_request(
     daemon: &Daemon,
     endpoint: &EndpointName,
-    wish: Wish<'_>,
+    params: PermitParams<'_>,
     ranks_lost: u8,
 ) -> Option<WireAsk> {
-    let due_in = wish.deadline.checked_duration_since(Instant::now())?;
+    let due_in = params.deadline.checked_duration_since(Instant::now())?;
     Some(WireAsk {
-        entry: daemon.me.to_string(),
+        entry: daemon.own_vm.to_string(),
         endpoint: endpoint.to_string(),
-        model: wish.model.to_string(),
-        tenant: wish.tenant.to_string(),
-        urgency: wish.urgency,
+        model: params.model.to_string(),
+        tenant: params.tenant.to_string(),
+        urgency: params.urgency,
         due_in_ms: due_in.as_millis() as u64,
         ranks_lost,
-        patience_ms: wish.patience_ms,
+        patience_ms: params.wait_limit_ms,
     })
 }
 
-async fn ask_here(
+async fn request_locally(
     daemon: &Arc<Daemon>,
     endpoint: &EndpointName,
-    wish: Wish<'_>,
+    params: PermitParams<'_>,
     ranks_lost: u8,
 ) -> Option<WireAnswer> {
-    let ask = wire_ask(daemon, endpoint, wish, ranks_lost)?;
-    Some(take_ask(Arc::clone(daemon), ask).await)
+    let request = wire_request(daemon, endpoint, params, ranks_lost)?;
+    Some(handle_request(Arc::clone(daemon), request).await)
 }
 
-async fn ask_peer(
+async fn request_from_peer(
     daemon: &Arc<Daemon>,
     address: &str,
     endpoint: &EndpointName,
-    wish: Wish<'_>,
+    params: PermitParams<'_>,
     ranks_lost: u8,
 ) -> Option<WireAnswer> {
-    let ask = wire_ask(daemon, endpoint, wish, ranks_lost)?;
-    let asked = async { daemon.peers.ask(address, ask).await.ok() };
+    let request = wire_request(daemon, endpoint, params, ranks_lost)?;
+    let answered = async { daemon.peers.ask(address, request).await.ok() };
     let lost = async {
-        watch(daemon, address, endpoint).await;
+        wait_until_silent(daemon, address, endpoint).await;
         None
     };
-    asked.or(lost).await
+    answered.or(lost).await
 }
 
 /// Ends once the peer has not answered a few questions in a row.
-async fn watch(daemon: &Daemon, address: &str, endpoint: &EndpointName) {
+async fn wait_until_silent(daemon: &Daemon, address: &str, endpoint: &EndpointName) {
     let mut unanswered = 0;
-    while unanswered < LOST_AFTER {
-        Timer::after(Duration::from_millis(ALIVE_INTERVAL_MS)).await;
+    while unanswered < MAX_UNANSWERED {
+        Timer::after(Duration::from_millis(LIVENESS_INTERVAL_MS)).await;
         let answered = daemon.peers.owns(address, endpoint.as_str()).await.is_ok();
         unanswered = if answered { 0 } else { unanswered + 1 };
     }
 }
 
 /// Puts an ask to this daemon's own control thread, and withdraws it when dropped.
-pub(crate) async fn take_ask(daemon: Arc<Daemon>, ask: WireAsk) -> WireAnswer {
+pub(crate) async fn handle_request(daemon: Arc<Daemon>, request: WireAsk) -> WireAnswer {
     let ticket = daemon.next_ticket();
-    let endpoint = EndpointName::from(ask.endpoint.as_str());
+    let endpoint = EndpointName::from(request.endpoint.as_str());
     let (reply, answer) = async_channel::bounded(1);
-    let mut withdrawal = Withdrawal { daemon: Arc::clone(&daemon), endpoint, ticket, is_due: true };
-    daemon.send(Message::Ask(ask.received(ticket, daemon.now_ms()), reply));
+    let mut guard = CancelGuard { daemon: Arc::clone(&daemon), endpoint, ticket, is_armed: true };
+    daemon.send(Message::PermitRequest(request.received(ticket, daemon.now_ms()), reply));
     let answer = answer.recv().await;
-    withdrawal.is_due = false;
+    guard.is_armed = false;
     match answer {
         Ok(answer) => WireAnswer::new(ticket, answer),
         Err(_) => WireAnswer::NotOwner { owner_rank: None },
@@ -169,17 +176,17 @@
 }
 
 /// Withdraws an ask whose caller has gone before it was answered.
-struct Withdrawal {
+struct CancelGuard {
     daemon: Arc<Daemon>,
     endpoint: EndpointName,
     ticket: Ticket,
-    is_due: bool,
+    is_armed: bool,
 }
 
-impl Drop for Withdrawal {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        if self.is_due {
-            self.daemon.tell(Event::Cancel(self.endpoint.clone(), self.ticket));
+        if self.is_armed {
+            self.daemon.send_event(Event::Cancel(self.endpoint.clone(), self.ticket));
         }
     }
 }
@@ -197,16 +204,16 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let Some(address) = self.owner_address.clone() else {
-            self.daemon.tell(Event::Release(self.endpoint.clone(), self.ticket));
+            self.daemon.send_event(Event::Release(self.endpoint.clone(), self.ticket));
             return;
         };
         let (daemon, endpoint, ticket) =
             (Arc::clone(&self.daemon), self.endpoint.clone(), self.ticket);
-        let give_back = async move {
+        let release = async move {
             if let Err(error) = daemon.peers.release(&address, endpoint.as_str(), ticket.0).await {
                 tracing::debug!("permit: A permit for {endpoint} was not given back: {error}.");
             }
         };
-        smol::spawn(give_back).detach();
+        smol::spawn(release).detach();
     }
 }
--- a/crates/trestled/src/surroundings.rs
+++ b/crates/trestled/src/platform_wire.rs
@@ -4,7 +4,7 @@
 use trestle_platform::{READINESS_PATH, configuration, endpoint, head, notice, order, store};
 
 /// The users' platform.
-pub(crate) fn platform() -> Wire {
+pub(crate) fn wire() -> Wire {
     Wire {
         store: StoreWire {
             config_row: (configuration::TABLE, configuration::KEY),
--- a/crates/trestled/src/routing.rs
+++ b/crates/trestled/src/routing.rs
@@ -20,12 +20,12 @@
     /// Members of each failure domain, as last read.
     pub(crate) domains: BTreeMap<DomainName, MembershipRow>,
     /// Endpoints that are leaving.
-    pub(crate) leaving: BTreeSet<String>,
+    pub(crate) draining: BTreeSet<String>,
 }
 
 impl Routing {
     /// Puts a configuration in force, unless a newer one is.
-    pub(crate) fn take_config(&mut self, config: Arc<Config>, text: Arc<str>) -> bool {
+    pub(crate) fn apply_config(&mut self, config: Arc<Config>, text: Arc<str>) -> bool {
         if config.catalog.version <= self.config.catalog.version {
             return false;
         }
@@ -35,7 +35,7 @@
     }
 
     /// Takes the members of a domain, unless newer ones are known.
-    pub(crate) fn take_members(&mut self, domain: DomainName, row: MembershipRow) {
+    pub(crate) fn apply_members(&mut self, domain: DomainName, row: MembershipRow) {
         let known = self.domains.entry(domain).or_default();
         if row.epoch >= known.epoch {
             *known = row;
--- a/crates/trestled/src/status.rs
+++ b/crates/trestled/src/status.rs
@@ -11,32 +11,33 @@
 use trestle_wire::admin::{EndpointStatus, Status};
 
 /// The state of the daemon.
-pub(crate) fn of(
+pub(crate) fn build(
     daemon: &Daemon,
-    own: &DomainName,
-    nodes: &BTreeMap<DomainName, ControlState>,
+    own_domain: &DomainName,
+    states: &BTreeMap<DomainName, ControlState>,
 ) -> Status {
-    let row = nodes.get(own).map(|node| node.membership().row().clone()).unwrap_or_default();
+    let row =
+        states.get(own_domain).map(|state| state.membership().row().clone()).unwrap_or_default();
     let members = row.members.iter().map(|(vm, member)| (vm.to_string(), member.address.clone()));
-    let seats = nodes
+    let positions = states
         .values()
         .flat_map(ControlState::chain_positions)
-        .map(|(endpoint, seat)| (endpoint.to_string(), endpoint_of(seat)));
+        .map(|(endpoint, position)| (endpoint.to_string(), endpoint_status(position)));
     Status {
-        vm: daemon.me.to_string(),
+        vm: daemon.own_vm.to_string(),
         domain: daemon.settings.domain.clone(),
         ready: daemon.is_ready(),
         config_version: daemon.routing().config.catalog.version,
         platform_silent_ms: Some(daemon.platform_silent_ms()),
         epoch: row.epoch,
         members: members.collect(),
-        endpoints: seats.collect(),
+        endpoints: positions.collect(),
     }
 }
 
-fn endpoint_of(seat: &ChainPosition) -> EndpointStatus {
-    let owned = seat.owned_endpoint();
-    let (role, fence) = match &seat.role {
+fn endpoint_status(position: &ChainPosition) -> EndpointStatus {
+    let owned = position.owned_endpoint();
+    let (role, fence) = match &position.role {
         Role::Owner(owned) => ("owner", owned.fence().as_u64()),
         Role::Standby => ("standby", 0),
         Role::SteppedDown(fence) => ("stepped_down", fence.as_u64()),
@@ -44,23 +45,23 @@
     let held: BTreeMap<String, String> = owned
         .into_iter()
         .flat_map(|owned| owned.phases())
-        .map(|(model, phase)| (model.to_string(), phase_text(phase).to_owned()))
+        .map(|(model, phase)| (model.to_string(), phase_name(phase).to_owned()))
         .collect();
     EndpointStatus {
         role: role.to_owned(),
-        rank: seat.rank,
+        rank: position.rank,
         fence,
         confirmed: owned.is_some_and(|owned| owned.is_confirmed()),
         silent: owned.is_some_and(|owned| owned.is_silent()),
-        placed: placed_of(seat),
+        placed: placement_states(position),
         held,
         permits_out: owned.map_or(0, |owned| owned.permits_out()),
         waiting: owned.map_or(0, |owned| owned.waiting()),
     }
 }
 
-fn placed_of(seat: &ChainPosition) -> BTreeMap<String, String> {
-    let placed = seat.row.placed.iter().map(|(model, placement)| {
+fn placement_states(position: &ChainPosition) -> BTreeMap<String, String> {
+    let placed = position.row.placed.iter().map(|(model, placement)| {
         let state = match &placement.retiring {
             None => "active".to_owned(),
             Some(retiring) => {
@@ -73,7 +74,7 @@
     placed.collect()
 }
 
-fn phase_text(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Loading => "loading",
         Phase::Ready => "ready",
--- a/crates/trestled/src/stop.rs
+++ b/crates/trestled/src/stop.rs
@@ -20,9 +20,9 @@
 use trillium_smol::Stopper;
 
 /// Time in which the balancer notices that the daemon is not ready.
-const NOTICE_MS: u64 = 1_500;
+const BALANCER_NOTICE_MS: u64 = 1_500;
 /// Time between two looks whether everything has ended.
-const LOOK_MS: u64 = 50;
+const CHECK_INTERVAL_MS: u64 = 50;
 /// Time in which the last answers reach their callers.
 const FLUSH_MS: u64 = 500;
 /// Time for leaving the failure domain while the platform does not answer.
@@ -36,18 +36,18 @@
     daemon.is_stopping.store(true, Ordering::Relaxed);
     let started = Instant::now();
     let limit = Duration::from_millis(daemon.settings.intervals.stop_ms);
-    Timer::after(Duration::from_millis(NOTICE_MS)).await;
-    daemon.tell(Event::Stop);
+    Timer::after(Duration::from_millis(BALANCER_NOTICE_MS)).await;
+    daemon.send_event(Event::Stop);
     let leave_limit = started.elapsed() + Duration::from_millis(LEAVE_MS);
     while !daemon.has_left() && started.elapsed() < leave_limit {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_INTERVAL_MS)).await;
     }
     while daemon.in_flight.load(Ordering::Relaxed) > 0 && started.elapsed() < limit {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_INTERVAL_MS)).await;
     }
     callers.stop();
     Timer::after(Duration::from_millis(FLUSH_MS)).await;
-    let left = daemon.in_flight.load(Ordering::Relaxed);
-    tracing::info!("stop: Stopped with {left} requests left.");
+    let remaining = daemon.in_flight.load(Ordering::Relaxed);
+    tracing::info!("stop: Stopped with {remaining} requests left.");
     Ok(())
 }
--- a/crates/trestled/src/vms_watch.rs
+++ b/crates/trestled/src/vms_watch.rs
@@ -11,10 +11,10 @@
     loop {
         match daemon.platform.vms().await {
             Ok(vms) => {
-                let leaving = vms.iter().filter(|(_, state)| **state == VmState::Draining);
-                let leaving = leaving.map(|(name, _)| name.clone()).collect();
-                daemon.change_routing(|routing| routing.leaving = leaving);
-                daemon.tell(Event::VmList(vms));
+                let draining = vms.iter().filter(|(_, state)| **state == VmState::Draining);
+                let draining = draining.map(|(name, _)| name.clone()).collect();
+                daemon.change_routing(|routing| routing.draining = draining);
+                daemon.send_event(Event::VmList(vms));
             }
             Err(error) => tracing::debug!("platform: The list of VMs cannot be read: {error}."),
         }
