--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -1,10 +1,10 @@
-//! One request on its way.
+//! The state of one request while it is handled.
 
 use crate::{
     daemon::Daemon,
     traffic::{
-        payment::{self, Payment},
-        place::Place,
+        held_permit::HeldPermit,
+        quota_reservation::{self, QuotaReservation},
     },
     trial::Trial,
 };
@@ -26,66 +26,71 @@
     sends::Sends,
 };
 
-/// Most urgent and least urgent value that an endpoint takes.
-const PRIORITIES: (u8, u8) = (0, 9);
+/// The most urgent and the least urgent priority that endpoints accept.
+const PRIORITY_RANGE: (u8, u8) = (0, 9);
 
-/// One request on its way.
+/// One request that passed admission, from its arrival to its end.
 #[derive(Debug)]
 pub(crate) struct Task {
     pub(crate) daemon: Arc<Daemon>,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
     pub(crate) head: RequestHead,
-    /// Who asks.
+    /// The caller.
     pub(crate) identity: Identity,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) arrived_ms: u64,
-    /// Time from the arrival until the final answer is due.
+    /// Time from the arrival until the complete answer is due.
     pub(crate) allowed_ms: u64,
-    /// The configuration under which it was routed.
+    /// Version of the configuration that the request was routed with.
     pub(crate) config_version: u64,
-    /// When it was first sent to an endpoint, from its arrival; [`NOT_SENT`] before.
+    /// Time from the arrival to the first send to an endpoint; [`NOT_SENT`] until then.
     pub(crate) sent_after_ms: AtomicU64,
-    /// The list that its endpoint was last chosen from.
-    pub(crate) list: Mutex<ListSeen>,
-    /// Whether it may run although endpoints may have ended under it.
+    /// The list that the last endpoint was chosen from.
+    pub(crate) list_info: Mutex<ListInfo>,
+    /// Whether the request may run although it is suspected of crashing endpoints.
     pub(crate) trial: Trial,
-    /// What it has taken from its team's limit.
-    pub(crate) payment: Payment,
-    /// Its place at an endpoint that has named a limit.
-    pub(crate) place: Place,
-    /// The endpoint that held it back, with what was known of it, for logs.
-    pub(crate) held_back: Mutex<Option<HeldBackSeen>>,
+    /// The units that the request has reserved from its team's limit.
+    pub(crate) quota_reservation: QuotaReservation,
+    /// The permit to send the request to an endpoint that limits its requests.
+    pub(crate) held_permit: HeldPermit,
+    /// The endpoint whose limit or backoff kept the request from being sent, for logs.
+    pub(crate) throttle: Mutex<Option<ThrottleInfo>>,
 }
 
-/// The list that an endpoint was chosen from, for logs.
+/// The state of the endpoint list when an endpoint was chosen from it, for logs.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct ListSeen {
+pub(crate) struct ListInfo {
     pub(crate) version: u64,
+    /// Time since the list was last known to be current.
     pub(crate) age_ms: u64,
-    pub(crate) way: &'static str,
+    /// Where the list was received from.
+    pub(crate) source: &'static str,
 }
 
-/// What was known of an endpoint that held a request back, for logs.
+/// The limit or backoff of an endpoint that kept a request from being sent, for logs.
 #[derive(Debug, Clone)]
-pub(crate) struct HeldBackSeen {
+pub(crate) struct ThrottleInfo {
     pub(crate) endpoint: EndpointName,
+    /// Requests per second that the endpoint accepts; `None` if a backoff was the reason.
     pub(crate) limit_per_s: Option<f64>,
-    pub(crate) rest_left_ms: Option<u64>,
-    pub(crate) heard_ago_ms: u64,
-    /// The request in whose answer it was heard.
-    pub(crate) heard_in: String,
+    /// Time until the backoff ends; `None` if a limit was the reason.
+    pub(crate) backoff_left_ms: Option<u64>,
+    /// Time since the endpoint last reported it.
+    pub(crate) observed_ago_ms: u64,
+    /// Id of the request whose answer reported it.
+    pub(crate) observed_in: String,
 }
 
-/// Stands for a request that was not sent to an endpoint.
+/// Value of [`Task::sent_after_ms`] for a request that was not sent to an endpoint yet.
 pub(crate) const NOT_SENT: u64 = u64::MAX;
 
 impl Task {
-    /// The request as selection looks at it.
-    pub(crate) fn asking(&self) -> RequestContext<'_> {
+    /// Returns the view of the request that endpoint selection decides on.
+    pub(crate) fn context(&self) -> RequestContext<'_> {
         RequestContext {
             route: &self.route,
             service: &self.service,
@@ -94,134 +99,135 @@
             elapsed_ms: self.elapsed_ms(),
             demand_id: None,
             is_trial: self.trial.is_permitted(),
-            has_quota: self.payment.is_made(self, self.daemon.shared_view.now_ms()),
+            has_quota: self.quota_reservation.allows_send(self, self.daemon.shared_view.now_ms()),
             send_permit: None,
         }
     }
 
-    /// Takes a further send from the budget, if the request may go out once more.
-    pub(crate) fn take_next(&self, sends: &mut Sends) -> bool {
+    /// Reserves one more send from the retry budget. Returns whether the request may be sent.
+    pub(crate) fn reserve_next_send(&self, sends: &mut Sends) -> bool {
         let shared_view = &self.daemon.shared_view;
         let now_ms = shared_view.now_ms();
         shared_view
             .with(|local_view| sends.reserve_next(&self.route, &self.service, local_view, now_ms))
     }
 
-    /// What all attempts of the request have in common, for logs.
+    /// Returns the fingerprint that all attempts of the same request share, for logs.
     pub(crate) fn fingerprint(&self) -> Option<String> {
         self.head.fingerprint.map(|fingerprint| fingerprint.to_string())
     }
 
-    /// Whether it may leave for an endpoint, by what is known at this moment. An endpoint may have
-    /// left, or named a limit, while a connection was opened.
-    pub(crate) fn may_leave(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether the request may be sent to an endpoint now. The endpoint may have begun to
+    /// drain, or reported a limit, while the connection was opened.
+    pub(crate) fn may_send(&self, endpoint: &Endpoint) -> bool {
         let now_ms = self.daemon.shared_view.now_ms();
         let incarnation = endpoint.incarnation();
         let (is_usable, is_limited) = self.daemon.shared_view.with(|local_view| {
             let is_limited = local_view.backpressure.limit(&incarnation).is_some();
-            let rests = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
-            (local_view.directory.is_usable(&incarnation) && !rests, is_limited)
+            let backs_off = local_view.backpressure.backoff_left_ms(&incarnation, now_ms).is_some();
+            (local_view.directory.is_usable(&incarnation) && !backs_off, is_limited)
         });
         is_usable
-            && (!is_limited || self.place.may_leave(&incarnation, now_ms))
-            && self.payment.send(self, now_ms)
+            && (!is_limited || self.held_permit.allows_send(&incarnation, now_ms))
+            && self.quota_reservation.record_sent(self, now_ms)
     }
 
-    /// Notes the endpoint that held it back.
-    pub(crate) fn note_held_back(
+    /// Records the endpoint whose limit or backoff kept the request from being sent.
+    pub(crate) fn record_throttle(
         &self,
         local_view: &LocalView,
         incarnation: &Incarnation,
         now_ms: u64,
     ) {
         let endpoint = incarnation.name.clone();
-        let (rest, limit) = (
+        let (backoff, limit) = (
             local_view.backpressure.backoff(incarnation),
             local_view.backpressure.limit(incarnation),
         );
-        let seen = match (rest, limit) {
-            (Some(rest), _) => Some(HeldBackSeen {
+        let info = match (backoff, limit) {
+            (Some(backoff), _) => Some(ThrottleInfo {
                 endpoint,
                 limit_per_s: None,
-                rest_left_ms: Some(rest.until_ms.saturating_sub(now_ms)),
-                heard_ago_ms: now_ms.saturating_sub(rest.observed_ms),
-                heard_in: rest.observed_in.clone(),
+                backoff_left_ms: Some(backoff.until_ms.saturating_sub(now_ms)),
+                observed_ago_ms: now_ms.saturating_sub(backoff.observed_ms),
+                observed_in: backoff.observed_in.clone(),
             }),
-            (None, Some(limit)) => Some(HeldBackSeen {
+            (None, Some(limit)) => Some(ThrottleInfo {
                 endpoint,
                 limit_per_s: Some(limit.per_ks as f64 / 1e3),
-                rest_left_ms: None,
-                heard_ago_ms: now_ms.saturating_sub(limit.observed_ms),
-                heard_in: limit.observed_in.clone(),
+                backoff_left_ms: None,
+                observed_ago_ms: now_ms.saturating_sub(limit.observed_ms),
+                observed_in: limit.observed_in.clone(),
             }),
             (None, None) => None,
         };
-        *self.held_back.lock().unwrap_or_else(PoisonError::into_inner) = seen;
+        *self.throttle.lock().unwrap_or_else(PoisonError::into_inner) = info;
     }
 
-    /// The endpoint that held it back.
-    pub(crate) fn held_back(&self) -> Option<HeldBackSeen> {
-        self.held_back.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Returns the endpoint whose limit or backoff last kept the request from being sent.
+    pub(crate) fn throttle(&self) -> Option<ThrottleInfo> {
+        self.throttle.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether the caller's key has not been taken away since it was routed.
-    pub(crate) fn still_counts(&self) -> bool {
+    /// Returns whether the caller's key is still valid under the current configuration.
+    pub(crate) fn has_valid_key(&self) -> bool {
         let Some(catalog) = self.daemon.shared_view.catalog() else { return true };
         catalog.version == self.config_version || self.identity.is_still_valid(&catalog)
     }
 
-    /// Notes that it had a whole answer of an endpoint, so that it ends none.
-    pub(crate) fn note_served(&self, endpoint: &Endpoint) {
-        let served = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
-        if let Some(ends) = self.daemon.shared_view.with(served) {
+    /// Records that an endpoint answered the request completely. This clears the request of the
+    /// suspicion that it crashes endpoints.
+    pub(crate) fn record_served(&self, endpoint: &Endpoint) {
+        let clear_suspicion = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
+        if let Some(ends) = self.daemon.shared_view.with(clear_suspicion) {
             tracing::warn!(
                 id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
-                "request: It had a whole answer, and is tried or refused no more."
+                "request: Got a complete answer; it is no longer suspected of crashing endpoints."
             );
         }
     }
 
-    /// Notes the list that its endpoint was chosen from.
-    pub(crate) fn note_list(&self, local_view: &LocalView, now_ms: u64) {
-        let heard = local_view.list_origin;
-        let (version, way) = (local_view.listing.version(), heard.source.name());
-        let age_ms = now_ms.saturating_sub(heard.known_ms);
-        *self.list.lock().unwrap_or_else(PoisonError::into_inner) =
-            ListSeen { version, age_ms, way };
+    /// Records the list that the endpoint was chosen from.
+    pub(crate) fn record_list(&self, local_view: &LocalView, now_ms: u64) {
+        let origin = local_view.list_origin;
+        let (version, source) = (local_view.listing.version(), origin.source.name());
+        let age_ms = now_ms.saturating_sub(origin.known_ms);
+        *self.list_info.lock().unwrap_or_else(PoisonError::into_inner) =
+            ListInfo { version, age_ms, source };
     }
 
-    /// The list that its endpoint was last chosen from.
-    pub(crate) fn list(&self) -> ListSeen {
-        *self.list.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the list that the last endpoint was chosen from.
+    pub(crate) fn list_info(&self) -> ListInfo {
+        *self.list_info.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that it is sent to an endpoint.
-    pub(crate) fn note_sent(&self) {
+    /// Records that the request is sent to an endpoint; only the first send counts.
+    pub(crate) fn record_sent(&self) {
         self.sent_after_ms.fetch_min(self.elapsed_ms(), Ordering::Relaxed);
     }
 
-    /// Time that it waited before it was first sent to an endpoint.
-    pub(crate) fn sent_ms(&self) -> Option<u64> {
+    /// Returns the time from the arrival to the first send; `None` if there was none.
+    pub(crate) fn sent_after_ms(&self) -> Option<u64> {
         Some(self.sent_after_ms.load(Ordering::Relaxed)).filter(|after_ms| *after_ms != NOT_SENT)
     }
 
-    /// Time since its arrival.
+    /// Returns the time since the arrival.
     pub(crate) fn elapsed_ms(&self) -> u64 {
         self.daemon.shared_view.now_ms().saturating_sub(self.arrived_ms)
     }
 
-    /// Time that is left until its final answer is due.
-    pub(crate) fn left_ms(&self) -> u64 {
+    /// Returns the time left until the complete answer is due.
+    pub(crate) fn remaining_ms(&self) -> u64 {
         self.allowed_ms.saturating_sub(self.elapsed_ms())
     }
 
-    /// Whether its final answer is due.
-    pub(crate) fn is_over(&self) -> bool {
-        self.left_ms() == 0
+    /// Returns whether the time for the complete answer is used up.
+    pub(crate) fn is_expired(&self) -> bool {
+        self.remaining_ms() == 0
     }
 
-    /// The request as an endpoint gets it.
-    pub(crate) fn request(
+    /// Builds the HTTP request for an endpoint. A stream is to continue after `last_event_id`.
+    pub(crate) fn to_http_request(
         &self,
         endpoint: &Endpoint,
         last_event_id: Option<u64>,
@@ -232,8 +238,8 @@
         let mut headers = self.headers.clone();
         let forwarded = Forwarded {
             endpoint: &endpoint.name,
-            deadline_ms: self.left_ms(),
-            priority: self.route.priority.clamp(PRIORITIES.0, PRIORITIES.1),
+            deadline_ms: self.remaining_ms(),
+            priority: self.route.priority.clamp(PRIORITY_RANGE.0, PRIORITY_RANGE.1),
             last_event_id,
             identity: &self.identity,
         };
@@ -245,6 +251,6 @@
 
 impl Drop for Task {
     fn drop(&mut self) {
-        payment::give_back(self);
+        quota_reservation::release(self);
     }
 }
