--- a/crates/trestled/src/actions.rs
+++ b/crates/trestled/src/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the node asks for, and tells it the outcome.
+//! Executes the actions that the control state returns, and reports their results as events.
 
 use crate::daemon::Daemon;
 use std::{collections::BTreeMap, sync::Arc};
@@ -11,7 +11,7 @@
 };
 use trestle_wire::habits::{WireHabits, habits_object};
 
-/// Carries out one action, in a task of its own where it takes time.
+/// Executes an action. Actions that take time run in a task of their own.
 pub(crate) fn execute(daemon: &Arc<Daemon>, domain: &DomainName, action: Action) {
     let daemon = Arc::clone(daemon);
     let domain = domain.clone();
@@ -27,16 +27,21 @@
         Action::Order(endpoint, order) => smol::spawn(send_order(daemon, endpoint, order)).detach(),
         Action::Members(row) => {
             let members = row.members.len();
-            tracing::info!("member: Epoch {} of {domain} has {members} members.", row.epoch);
+            tracing::info!(
+                "member: Failure domain {domain} has {members} members at epoch {}.",
+                row.epoch
+            );
             daemon.metrics.record_epoch(domain.as_str(), row.epoch);
             daemon.change_routing(|routing| routing.apply_members(domain, row));
         }
         Action::Ownership { endpoint, fence: Some(fence) } => {
             let (epoch, rank) = (fence.epoch(), fence.rank());
-            tracing::info!("owner: Claiming {endpoint} at epoch {epoch} with rank {rank}.");
+            tracing::info!(
+                "owner: Claiming the ownership of endpoint {endpoint} at epoch {epoch} with rank {rank}."
+            );
         }
         Action::Ownership { endpoint, fence: None } => {
-            tracing::info!("owner: Gave up {endpoint}.");
+            tracing::info!("owner: Gave up the ownership of endpoint {endpoint}.");
         }
         Action::FetchUsageProfiles(endpoint) => {
             smol::spawn(fetch_usage_profiles(daemon, endpoint)).detach()
@@ -45,7 +50,7 @@
             smol::spawn(store_usage_profiles(daemon, endpoint, profiles)).detach();
         }
         Action::Left => {
-            tracing::info!("member: Left {domain}.");
+            tracing::info!("member: Left failure domain {domain}.");
             if domain.as_str() == daemon.settings.domain {
                 daemon.record_left();
             }
@@ -62,7 +67,7 @@
             Some(rows)
         }
         Err(error) => {
-            tracing::warn!("platform: A read failed: {error}.");
+            tracing::warn!("platform: A read of the table failed: {error}.");
             None
         }
     };
@@ -73,7 +78,7 @@
     daemon.metrics.record_table_write();
     let outcome = daemon.platform.commit(&txn).await;
     if outcome == CommitOutcome::Unknown {
-        tracing::warn!("platform: The outcome of a write is not known; reading it back.");
+        tracing::warn!("platform: The outcome of a write is unknown; it will be read back.");
     } else {
         daemon.record_platform_answer();
     }
@@ -101,18 +106,22 @@
     let Ok(content) = serde_json::to_vec(&WireHabits::from(&profiles)) else { return };
     let stored = daemon.platform.put_object(&habits_object(endpoint.as_str()), &content).await;
     if let Err(error) = stored {
-        tracing::debug!("owner: Habits at {endpoint} were not kept: {error}.");
+        tracing::debug!(
+            "owner: The usage profiles of endpoint {endpoint} could not be stored: {error}."
+        );
     }
 }
 
 async fn notify(daemon: Arc<Daemon>, address: String, endpoint: EndpointName) {
     if let Err(error) = daemon.peers.row_changed(&address, endpoint.as_str()).await {
-        tracing::debug!("owner: A successor for {endpoint} was not told: {error}.");
+        tracing::debug!(
+            "owner: A successor could not be notified of a change at endpoint {endpoint}: {error}."
+        );
     }
 }
 
 async fn send_order(daemon: Arc<Daemon>, endpoint: EndpointName, order: Order) {
-    tracing::debug!("owner: Ordering {:?} at {endpoint}.", order.kind);
+    tracing::debug!("owner: Sending the order {:?} to endpoint {endpoint}.", order.kind);
     let url = daemon.routing().config.engine_urls.get(&endpoint).cloned();
     let outcome = match url {
         Some(url) => daemon.engine.order(&url, &order).await,
@@ -121,12 +130,17 @@
     match &outcome {
         OrderOutcome::Accepted(_) => {}
         OrderOutcome::Refused(fence) => {
-            tracing::warn!("owner: {endpoint} refused an order; it has taken {}.", fence.as_u64());
+            tracing::warn!(
+                "owner: Endpoint {endpoint} refused an order; it has accepted fencing number {}.",
+                fence.as_u64()
+            );
         }
         OrderOutcome::Impossible(_) => {
-            tracing::warn!("owner: {endpoint} cannot carry out {:?}.", order.kind);
+            tracing::warn!("owner: Endpoint {endpoint} cannot execute the order {:?}.", order.kind);
+        }
+        OrderOutcome::Unknown => {
+            tracing::warn!("owner: Endpoint {endpoint} did not answer an order.")
         }
-        OrderOutcome::Unknown => tracing::warn!("owner: {endpoint} did not answer an order."),
     }
     daemon.send_event(Event::OrderResult { endpoint, fence: order.fence, outcome });
 }
--- a/crates/trestled/src/admin.rs
+++ b/crates/trestled/src/admin.rs
@@ -1,4 +1,4 @@
-//! Serves operators and the balancer.
+//! The HTTP interface for operators and the balancer.
 
 use crate::{daemon::Daemon, message::Message};
 use std::sync::Arc;
--- a/crates/trestled/src/args.rs
+++ b/crates/trestled/src/args.rs
@@ -13,19 +13,22 @@
 
 OPTIONS:
     --settings FILE   settings of this daemon, JSON with comments
-    --check           check the settings and end
+    --check           check the settings and exit
     --version         print the version
     --help            print this
 ";
 
-/// The command line of the daemon.
+/// The arguments of the command line.
 pub(crate) struct Args {
+    /// The path of the settings file.
     pub(crate) settings_path: PathBuf,
+    /// Whether to check the settings and exit.
     pub(crate) check_only: bool,
 }
 
 impl Args {
-    /// Reads the command line; `None` if it only asked for help.
+    /// Parses the command line; `None` if only the help text or the version was requested, which is
+    /// then printed. Fails if the settings file is not named.
     pub(crate) fn from_env() -> Result<Option<Self>> {
         let mut args = pico_args::Arguments::from_env();
         if args.contains("--help") {
@@ -41,7 +44,7 @@
         Ok(Some(Self { settings_path, check_only }))
     }
 
-    /// The settings that the file holds.
+    /// Reads the settings file. Fails if it cannot be read or is not valid.
     pub(crate) fn settings(&self) -> Result<SettingsFile> {
         read_settings(&self.settings_path).context(ConfigSnafu)
     }
--- a/crates/trestled/src/claims.rs
+++ b/crates/trestled/src/claims.rs
@@ -1,9 +1,9 @@
-//! Calls that may not be repeated.
+//! Execution of calls that must not run twice.
 //!
-//! [`trestle_core::claim`] decides; this carries the steps out. An attempt runs
-//! in a task of its own, so that a caller who goes away or whose deadline comes
-//! does not end it between two steps. Whether the attempt may still send is
-//! decided by a [`gate`].
+//! [`trestle_core::claim`] decides the steps of an attempt, and this module executes them. Each
+//! attempt runs in a task of its own, so that it is not interrupted between two steps if the caller
+//! disconnects or the deadline passes. A [`send_state`] decides whether the attempt may still send
+//! the call.
 
 mod record;
 mod send_state;
@@ -32,32 +32,39 @@
 };
 use trestle_wire::claim::{WireClaim, WireClaimState};
 
-/// Time between two looks at a claim that another attempt holds.
+/// Interval at which a claim that another attempt holds is read.
 const POLL_INTERVAL_MS: u64 = 100;
-/// Time for which an answer is still waited for, to record it, past the caller's deadline.
+/// Time limit for the answer of a server. It exceeds the caller's deadline, so that a late answer
+/// is still recorded.
 const ANSWER_LIMIT: Duration = Duration::from_secs(60);
-/// Time for which an answer is held back until it is recorded.
+/// Longest time for which an answer is withheld from the caller until it is recorded.
 const RECORD_WAIT_MS: u64 = 500;
 
-/// A call with everything that an attempt needs.
+/// A call together with the data that an attempt to run it needs.
 pub(crate) struct ClaimedCall {
+    /// The key of the row that holds the claim.
     pub(crate) row: String,
     pub(crate) service: Service,
     pub(crate) call: ServiceCall,
     pub(crate) deadline: Instant,
-    /// Whether the caller says that it has sent the key before.
+    /// Whether the caller states that it has sent the idempotency key before.
     pub(crate) is_repeated: bool,
 }
 
-/// How a call ended, for its caller.
+/// The outcome of a call, as it is reported to its caller.
 pub(crate) enum ClaimOutcome {
+    /// This or an earlier attempt received an answer.
     Answered(ServiceAnswer),
+    /// This attempt did not send the call and never will.
     NotRun,
+    /// The call may have run.
     Unknown,
+    /// The idempotency key was used for a different call.
     OtherCall,
 }
 
-/// Runs a call once, or finds out what became of it.
+/// Runs a call unless an earlier attempt has done so, and returns its outcome; at the deadline,
+/// returns what is known by then.
 pub(crate) async fn run(daemon: &Arc<Daemon>, claimed: ClaimedCall) -> ClaimOutcome {
     let send_state = Arc::new(SendState::default());
     let deadline = claimed.deadline;
@@ -77,13 +84,15 @@
     ended.or(timed_out).await
 }
 
-/// An attempt under way.
+/// A running attempt.
 struct AttemptTask {
     daemon: Arc<Daemon>,
     claimed: ClaimedCall,
     send_state: Arc<SendState>,
     attempt: Attempt,
+    /// The SHA-256 of the call's method, path and body, in hexadecimal.
     digest: String,
+    /// The answer that was received, or that the row holds.
     answer: Option<ServiceAnswer>,
 }
 
@@ -119,7 +128,7 @@
         match record::read(&self.daemon, &self.claimed.row).await {
             Ok((version, claim)) => ClaimEvent::Read(self.interpret_row(version, claim).await),
             Err(error) => {
-                tracing::warn!("claim: A claim cannot be read: {error}.");
+                tracing::warn!("claim: A claim row cannot be read: {error}.");
                 ClaimEvent::ReadFailed
             }
         }
@@ -137,7 +146,7 @@
                 self.answer = record::load_answer(&self.daemon, answer).await;
                 match self.answer {
                     Some(_) => ClaimState::Answered,
-                    // The answer is kept, but cannot be read at the moment.
+                    // The row holds an answer whose body cannot be read at the moment.
                     None => ClaimState::Claimed { attempt },
                 }
             }
@@ -171,14 +180,17 @@
                     return ClaimEvent::Answer;
                 }
                 CallOutcome::AnswerLost(message) => {
-                    tracing::warn!("claim: {endpoint} gave no whole answer: {message}.");
+                    tracing::warn!(
+                        "claim: Endpoint {endpoint} returned no complete answer: {message}."
+                    );
                     return ClaimEvent::AnswerLost;
                 }
-                // The connection was refused, so the next server may be tried.
+                // The server refused the connection, so the next one can be tried.
                 CallOutcome::NotSent(_) => {}
             }
         }
-        // From here on nothing is sent, whatever the caller's side decides.
+        // The row is about to state that the call was not run, so nothing may be sent after this
+        // point.
         self.send_state.forbid_sending();
         ClaimEvent::NotSent
     }
@@ -192,7 +204,8 @@
         service_call::send(client, slot, &self.claimed.call, ANSWER_LIMIT).await
     }
 
-    /// Writes what became of the call; goes on in the background if that takes long.
+    /// Records the outcome of the call in its row. Waits for the write only if the call was
+    /// answered, and then for at most [`RECORD_WAIT_MS`]; the write continues in the background.
     async fn record(&mut self, recorded: Recorded) -> ClaimEvent {
         let answer = self.answer.clone().filter(|_| recorded == Recorded::Answered);
         let daemon = Arc::clone(&self.daemon);
--- a/crates/trestled/src/claims/record.rs
+++ b/crates/trestled/src/claims/record.rs
@@ -1,4 +1,4 @@
-//! Reading claims, and writing what became of a call.
+//! Reads claims and records the outcomes of calls.
 
 use crate::{daemon::Daemon, entry::service_call::ServiceAnswer};
 use smol::Timer;
@@ -6,12 +6,13 @@
 use trestle_core::row::CommitOutcome;
 use trestle_wire::claim::{WireAnswerBody, WireClaim, WireClaimState, WireKeptAnswer};
 
-/// Time between two tries to write what became of a call.
+/// Time between two attempts to record an outcome.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Tries to write what became of a call.
+/// Maximum number of attempts to record an outcome.
 const MAX_ATTEMPTS: u32 = 1_200;
 
-/// Reads the claim in a row, with the version of the row.
+/// Reads a row and returns its version and its claim; version 0 and `None` if there is no such row.
+/// Fails if the platform cannot be read.
 pub(crate) async fn read(
     daemon: &Daemon,
     row: &str,
@@ -23,7 +24,7 @@
     Ok((found.version, claim))
 }
 
-/// The answer that a claim keeps; `None` if it cannot be read at the moment.
+/// Returns the answer stored for a claim; `None` if its body cannot be read at the moment.
 pub(crate) async fn load_answer(daemon: &Daemon, stored: WireKeptAnswer) -> Option<ServiceAnswer> {
     let body = match stored.body {
         WireAnswerBody::Here { hex } => hex::decode(hex).ok()?,
@@ -32,7 +33,8 @@
     Some(ServiceAnswer { status: stored.status, content_type: stored.content_type, body })
 }
 
-/// Writes what became of a call: its answer, or that it was not run.
+/// Records the outcome of a call in its row: the answer if there is one, or otherwise that the call
+/// was not run. Retries until the row is written, up to [`MAX_ATTEMPTS`] times.
 pub(crate) async fn write_with_retries(
     daemon: &Daemon,
     row: &str,
@@ -54,7 +56,7 @@
         }
         Timer::after(RETRY_INTERVAL).await;
     }
-    tracing::error!("claim: What became of {row} could not be recorded.");
+    tracing::error!("claim: The outcome of the call in row {row} could not be recorded.");
 }
 
 async fn store_answer(
@@ -73,10 +75,11 @@
     Some(WireKeptAnswer { status: answer.status, content_type, body })
 }
 
-/// Writes over the attempt's own claim, or over a row that holds none yet.
+/// Overwrites the attempt's own claim or a row without a claim. Returns whether the row needs no
+/// further attempt: it was written, holds this outcome already, or belongs to another attempt.
 ///
-/// A claim whose write was ambiguous may still take effect later; writing over
-/// the absent row changes its version, so that it cannot.
+/// If the outcome of an earlier write of the claim is unknown, that write may still take effect
+/// later. Writing to the row while it has no claim changes its version, which prevents that.
 async fn write(daemon: &Daemon, row: &str, claim: &WireClaim) -> bool {
     let Ok((version, found)) = read(daemon, row).await else { return false };
     if found.is_some_and(|found| found.attempt != claim.attempt || found.state == claim.state) {
--- a/crates/trestled/src/claims/send_state.rs
+++ b/crates/trestled/src/claims/send_state.rs
@@ -1,52 +1,56 @@
-//! Whether an attempt may still send, and what its caller may be told.
+//! The state that decides whether an attempt may still send its call, and what its caller is told
+//! at the deadline.
 //!
-//! The attempt and the caller's side change one flag by compare-and-swap. The
-//! caller's side closes it at the deadline; from then on the attempt sends
-//! nothing, so what the caller is told stays true.
+//! The attempt and the task that waits for it on the caller's behalf change the state by
+//! compare-and-swap. The caller's task closes it at the deadline. The attempt sends nothing
+//! afterwards, so what the caller was told remains true.
 
 use super::ClaimOutcome;
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// The row of the key has not been read yet.
+/// The attempt has not read the row of the idempotency key yet.
 const UNREAD: u8 = 0;
-/// The attempt holds the claim, and has sent nothing.
+/// The attempt holds the claim and has sent nothing.
 const HELD: u8 = 1;
-/// Another attempt holds the claim, or may.
+/// Another attempt may hold the claim.
 const CONTESTED: u8 = 2;
-/// The attempt has begun to send.
+/// The attempt has begun to send the call.
 const SENDING: u8 = 3;
 /// The attempt must not send any more.
 const CLOSED: u8 = 4;
 
-/// Whether an attempt may still send.
+/// The sending state of one attempt.
 #[derive(Default)]
 pub(crate) struct SendState(AtomicU8);
 
 impl SendState {
-    /// Notes that another attempt holds the claim, or may.
+    /// Records that another attempt may hold the claim.
     pub(crate) fn mark_contested(&self) {
         let _ = self.transition(UNREAD, CONTESTED);
     }
 
-    /// Notes that the attempt holds the claim.
+    /// Records that the attempt holds the claim.
     pub(crate) fn mark_held(&self) {
         let _ = self.transition(UNREAD, HELD).or_else(|_| self.transition(CONTESTED, HELD));
     }
 
-    /// Begins to send, or goes on to; tells whether that is allowed.
+    /// Changes the state to sending, and returns whether the attempt may send. An attempt that is
+    /// sending already may go on to the next server.
     pub(crate) fn try_begin_sending(&self) -> bool {
         matches!(self.transition(HELD, SENDING), Ok(_) | Err(SENDING))
     }
 
-    /// Forbids to send, whatever has been sent before.
+    /// Forbids sending from now on, also after the attempt has begun to send.
     pub(crate) fn forbid_sending(&self) {
         self.0.store(CLOSED, Ordering::SeqCst);
     }
 
-    /// Forbids to send, at the deadline; tells what the caller may be told.
+    /// Forbids sending at the deadline unless the attempt has begun to send, and returns the
+    /// outcome to report to the caller.
     ///
-    /// `is_repeated` says that the caller has sent the key before, so that
-    /// without the row nobody can say that the call was not run.
+    /// `is_repeated` states that the caller has sent the idempotency key before. In that case an
+    /// earlier attempt may have run the call, so the outcome is unknown as long as the row has not
+    /// been read.
     pub(crate) fn close_at_deadline(&self, is_repeated: bool) -> ClaimOutcome {
         let mut state = self.0.load(Ordering::SeqCst);
         while state != SENDING && state != CLOSED {
--- a/crates/trestled/src/claims/writer.rs
+++ b/crates/trestled/src/claims/writer.rs
@@ -1,8 +1,8 @@
-//! Claims that are written together.
+//! Writes claims in batches.
 //!
-//! Claims that come in while a write is under way go out together with the
-//! next one. Rows that stand against it are taken out and told so, and the
-//! others are written again without them.
+//! Claims that arrive during a write are written together in the next transaction. If rows of a
+//! batch conflict, their claims are removed from the batch and reported as conflicts, and the
+//! others are written again.
 
 use async_channel::{Receiver, Sender};
 use std::collections::BTreeMap;
@@ -10,15 +10,15 @@
 use trestle_core::row::CommitOutcome;
 use trestle_wire::{claim::WireClaim, table::CommitRequest};
 
-/// Claims that go out together at most.
+/// Maximum number of claims in a transaction.
 const MAX_BATCH_CLAIMS: usize = 128;
 
-/// Writes claims, many in one transaction.
+/// Writes claims, several in one transaction.
 pub(crate) struct ClaimWriter {
     claims: Sender<PendingClaim>,
 }
 
-/// A claim that waits to be written.
+/// A claim that has not been written yet.
 struct PendingClaim {
     row: String,
     version: u64,
@@ -27,14 +27,14 @@
 }
 
 impl ClaimWriter {
-    /// Starts the task that writes.
+    /// Starts the task that writes the claims.
     pub(crate) fn start(platform: Platform) -> Self {
         let (claims, received) = async_channel::unbounded();
         smol::spawn(run(platform, received)).detach();
         Self { claims }
     }
 
-    /// Writes a claim over a row that must still have the version.
+    /// Writes a claim to a row, provided that the row still has the given version.
     pub(crate) async fn write(&self, row: &str, version: u64, claim: &WireClaim) -> CommitOutcome {
         let Ok(value) = serde_json::to_value(claim) else { return CommitOutcome::Conflict };
         let (reply, outcome) = async_channel::bounded(1);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Adds a claim; a second one for the same row has lost to the first.
+/// Adds a claim to a batch. A second claim for the same row is reported as a conflict.
 fn add(batch: &mut BTreeMap<String, PendingClaim>, pending: PendingClaim) {
     if batch.contains_key(&pending.row) {
         let _ = pending.reply.try_send(CommitOutcome::Conflict);
--- a/crates/trestled/src/clock.rs
+++ b/crates/trestled/src/clock.rs
@@ -1,7 +1,7 @@
-//! The operators' clocks, for the windows of models.
+//! The operators' local time, for the time windows of models.
 //!
-//! Windows only decide what is loaded ahead of time, so a wrong clock costs idle
-//! time or a cold start, and nothing else.
+//! Windows decide only which models are loaded ahead of time, so a wrong clock costs an idle model
+//! or a cold start, and nothing else.
 
 use crate::daemon::Daemon;
 use smol::Timer;
@@ -9,9 +9,10 @@
 use time::{OffsetDateTime, UtcOffset};
 use trestle_core::{event::Event, window::CivilTime};
 
+/// Time between two reports.
 const INTERVAL: Duration = Duration::from_secs(20);
 
-/// Tells the time until the process ends.
+/// Reports the local time to the control thread until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     loop {
         let offset_minutes = daemon.routing().config.utc_offset_minutes;
--- a/crates/trestled/src/config_watch.rs
+++ b/crates/trestled/src/config_watch.rs
@@ -1,8 +1,8 @@
-//! Follows the configuration in force.
+//! Keeps the configuration of this daemon up to date.
 //!
-//! The head row names the version. A version that is lower than the one in
-//! force is never taken, whoever offers it. While the platform does not answer,
-//! peers are asked instead.
+//! The head row names the version in force. A version that is not newer than the daemon's own is
+//! never applied, whoever offers it. While the platform does not answer, the configuration is
+//! requested from peers instead.
 
 use crate::daemon::Daemon;
 use smol::Timer;
@@ -13,7 +13,7 @@
     table::{CONFIG_HEAD_KEY, ConfigHead, config_object},
 };
 
-/// Follows the configuration until the process ends.
+/// Polls for new configurations until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let interval = Duration::from_millis(daemon.settings.intervals.config_poll_ms);
     loop {
@@ -31,7 +31,7 @@
             }
         }
         Ok(_) => return,
-        Err(error) => tracing::debug!("config: The head cannot be read: {error}."),
+        Err(error) => tracing::debug!("config: The head row cannot be read: {error}."),
     }
     if let Some(config) = fetch_from_peer(daemon).await {
         apply(daemon, &config);
@@ -51,13 +51,16 @@
         Ok(content) => {
             let text = String::from_utf8(content).ok()?;
             if trestle_config::digest(&text) != head.sha256 {
-                tracing::error!("config: The file of version {} is damaged.", head.version);
+                tracing::error!(
+                    "config: The file of version {} does not match its checksum.",
+                    head.version
+                );
                 return None;
             }
             Some(WireConfig { version: head.version, text })
         }
         Err(error) => {
-            tracing::warn!("config: Version {} cannot be read: {error}.", head.version);
+            tracing::warn!("config: The file of version {} cannot be read: {error}.", head.version);
             None
         }
     }
@@ -89,7 +92,8 @@
     if is_applied {
         tracing::info!("config: Version {} is in force.", offered.version);
         daemon.metrics.record_config_version(offered.version);
-        // The configuration names the domains, so only now can their members be read.
+        // The members of the failure domains can be read only now, because the configuration names
+        // these domains.
         daemon.request_domains_refresh();
         daemon.send_event(Event::Catalog(Arc::new(config.catalog.clone())));
     }
--- a/crates/trestled/src/control.rs
+++ b/crates/trestled/src/control.rs
@@ -1,7 +1,8 @@
 //! The control thread.
 //!
-//! It alone holds the node. It takes one message after another, hands events to
-//! the node, and gives what the node asks for to [`crate::shell`].
+//! It is the only thread that accesses the [`ControlState`] values of this daemon. It processes one
+//! message at a time: it passes events to the control state of their failure domain, and has
+//! [`crate::actions`] execute the actions that this returns.
 
 use crate::{
     actions,
@@ -31,21 +32,26 @@
     timing::Timing,
 };
 
-/// Longest time between two looks at what is due.
+/// Longest time between two [`Event::Tick`] events.
 const TICK_MS: u64 = 50;
 
-/// Everything that the control thread holds.
+/// The data of the control thread.
 struct Control {
     daemon: Arc<Daemon>,
     own_domain: DomainName,
-    /// A node for the daemon's own domain, and one for each that it has adopted.
+    /// Control states by failure domain: that of the daemon's own domain, and those of the domains
+    /// that it has adopted.
     states: BTreeMap<DomainName, ControlState>,
+    /// Leases of the domains that this daemon follows in order to adopt them when all their daemons
+    /// are gone.
     adoptions: BTreeMap<DomainName, Adoption>,
+    /// Time of the next read of the leases in `adoptions`, on the daemon's clock.
     next_adoption_read_ms: u64,
+    /// Channels for the answers to the permit requests that have not been answered yet.
     permit_replies: BTreeMap<Ticket, Sender<PermitAnswer>>,
 }
 
-/// Starts the control thread.
+/// Starts the control thread. Fails if the thread cannot be created.
 pub(crate) fn start(daemon: Arc<Daemon>, messages: Receiver<Message>) -> Result<()> {
     let own = DomainName::from(daemon.settings.domain.as_str());
     let mut control = Control {
@@ -119,7 +125,8 @@
         }
     }
 
-    /// Hands an event to the node of its endpoint, or to all.
+    /// Passes an event to the control state of its endpoint's domain, or to all of them if it
+    /// concerns no single endpoint.
     fn dispatch(&mut self, event: Event) {
         if let Event::Cancel(_, ticket) = &event {
             self.permit_replies.remove(ticket);
@@ -137,7 +144,7 @@
     fn handle_event(&mut self, domain: &DomainName, event: Event) {
         let now_ms = self.daemon.now_ms();
         let Some(state) = self.states.get_mut(domain) else {
-            // An ask that came too late finds nobody who could answer it.
+            // The domain is no longer served here, so the requester is sent to another daemon.
             if let Event::PermitRequested(request) = event {
                 let answer = PermitAnswer::NotOwner { owner_rank: None };
                 self.execute(domain, Action::Answer(request.ticket, answer));
@@ -166,7 +173,7 @@
         }
     }
 
-    /// Gives back a permit that nobody waits for any more.
+    /// Releases a permit whose requester no longer waits for it.
     fn release_unclaimed(&mut self, domain: &DomainName, ticket: Ticket) {
         let positions =
             self.states.get(domain).map(ControlState::chain_positions).into_iter().flatten();
@@ -194,7 +201,7 @@
         self.states.insert(domain, state);
     }
 
-    /// Follows the domains that this daemon may have to adopt.
+    /// Selects the domains that this daemon may have to adopt, and reads their leases.
     fn read_adoption_candidates(&mut self) {
         let now_ms = self.daemon.now_ms();
         if now_ms < self.next_adoption_read_ms || self.daemon.is_stopping.load(Ordering::Relaxed) {
@@ -231,7 +238,9 @@
         if !adoption.is_due(&self.own_domain, &self.daemon.routing().domain_names()) {
             return;
         }
-        tracing::warn!("member: Adopting {domain}, whose daemons are all gone.");
+        tracing::warn!(
+            "member: Adopting failure domain {domain}, because all its daemons are gone."
+        );
         self.adoptions.remove(domain);
         self.add_state(domain.clone());
         let catalog = Arc::new(self.daemon.routing().config.catalog.clone());
--- a/crates/trestled/src/domains_watch.rs
+++ b/crates/trestled/src/domains_watch.rs
@@ -1,5 +1,7 @@
-//! Follows the members of the other failure domains, by the table or, while that
-//! cannot be read, by asking one of them.
+//! Keeps the members of the other failure domains up to date.
+//!
+//! They are read from the platform's table or, while that cannot be read, requested from a member
+//! of each domain.
 
 use crate::daemon::Daemon;
 use futures_lite::FutureExt;
@@ -10,12 +12,12 @@
     row::{Row, RowKey, Versioned},
 };
 
-/// Leases between two reads; requests that find no owner ask for one sooner.
+/// Interval of the reads, in lease intervals. Requests that find no owner cause an earlier read.
 const LEASES_PER_READ: u32 = 3;
-/// Shortest time between two reads that are asked for.
+/// Delay of a read that was requested, which limits how often such reads are made.
 const REFRESH_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the members of other domains until the process ends.
+/// Reads the members of other failure domains until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let interval = LEASES_PER_READ * Duration::from_millis(daemon.settings.intervals.lease_ms);
     loop {
@@ -49,7 +51,9 @@
             }
         }),
         Err(error) => {
-            tracing::debug!("member: Other domains cannot be read: {error}.");
+            tracing::debug!(
+                "member: The members of other failure domains cannot be read: {error}."
+            );
             for domain in others {
                 fetch_from_member(daemon, domain).await;
             }
@@ -57,7 +61,7 @@
     }
 }
 
-/// Learns the members of a domain from one of them, while the platform cannot be read.
+/// Requests the members of a failure domain from one of them.
 async fn fetch_from_member(daemon: &Daemon, domain: DomainName) {
     let routing = daemon.routing();
     let known = routing.domains.get(&domain).map(|row| row.members.values());
@@ -67,6 +71,8 @@
     match daemon.peers.members(address).await {
         Ok(Some(row)) => daemon.change_routing(|routing| routing.apply_members(domain, row)),
         Ok(None) => {}
-        Err(error) => tracing::debug!("member: {domain} cannot be asked: {error}."),
+        Err(error) => {
+            tracing::debug!("member: A member of failure domain {domain} does not answer: {error}.")
+        }
     }
 }
--- a/crates/trestled/src/entry.rs
+++ b/crates/trestled/src/entry.rs
@@ -1,11 +1,11 @@
-//! Serves callers.
+//! The HTTP interface for callers.
 //!
 //! - `POST /v1/chat/completions` and `POST /v1/completions`: models and adapters.
-//! - `GET /v1/models`: what may be named as `model`.
+//! - `GET /v1/models`: the names that are valid as `model`.
 //! - `/services/NAME/...`: plain services.
 //!
-//! Every request ends with one outcome: its own whole answer, or a failure that
-//! says whether the request was run, and when to come back.
+//! Every request ends with exactly one outcome: its own complete answer, or a failure that states
+//! whether the request was run and, where a retry makes sense, after which delay to retry.
 
 mod body;
 mod call;
@@ -29,7 +29,7 @@
 use trestle_wire::headers;
 use trillium::{Conn, Method};
 
-/// Answers a request of a caller.
+/// Answers a caller's request.
 pub(crate) async fn handle(daemon: Arc<Daemon>, conn: Conn) -> Conn {
     let in_flight = InFlight::new(&daemon);
     let started = Instant::now();
@@ -65,7 +65,8 @@
         (_, path) => match path.strip_prefix("/services/") {
             Some(rest) => service::answer(daemon, call, conn, rest).await,
             None => {
-                let message = format!("there is nothing at {path}; see /v1/models");
+                let message =
+                    format!("no resource exists at {path}; `GET /v1/models` lists the models");
                 Failure::not_run(404, "unknown_path", message).into_answer(conn, &call.request_id)
             }
         },
@@ -80,7 +81,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// A request that counts as in flight until the value is dropped.
 pub(crate) struct InFlight(Arc<Daemon>);
 
 impl InFlight {
--- a/crates/trestled/src/entry/body.rs
+++ b/crates/trestled/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers, within limits.
+//! Reading of request bodies, with limits on their size, their time, and the memory of all of them.
 
 use super::Failure;
 use crate::daemon::Daemon;
@@ -11,18 +11,19 @@
 };
 use trillium::Conn;
 
-/// Bytes of a refused body that are still read, so that the caller gets the refusal
-/// instead of a broken connection.
+/// Largest part of a rejected body that is still read. If the daemon stopped reading at once, the
+/// caller would see a broken connection instead of the error response.
 const MAX_DRAINED_BYTES: usize = 8 << 20;
-/// Time for which they are read after the refusal of a body that does not fit in.
+/// Longest time for which the rest of a body is read after it was rejected for lack of memory.
 const DRAIN_MS: u64 = 1_000;
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// When to come back after too many bodies were held at once.
+/// Retry delay for a request that was rejected because all bodies together are too large.
 const MEMORY_RETRY_MS: u64 = 1_000;
 
-/// The whole body of a request, counted among all bodies until it is dropped.
+/// The complete body of a request. Its size counts against the limit on all bodies until the value
+/// is dropped.
 pub(crate) struct Body {
     pub(crate) content: Vec<u8>,
     daemon: Arc<Daemon>,
@@ -34,12 +35,13 @@
         Self { content: Vec::new(), daemon: Arc::clone(daemon), counted_bytes: 0 }
     }
 
-    /// Adds a part, unless too much is held already.
+    /// Appends a part. Fails if all bodies together exceed their limit.
     fn push(&mut self, part: &[u8]) -> Result<(), Failure> {
         let before = self.daemon.body_bytes.fetch_add(part.len(), Ordering::Relaxed);
         self.counted_bytes += part.len();
         if before + part.len() > self.daemon.settings.limits.all_bodies_bytes {
-            let message = "this daemon holds as many bytes of requests as it may";
+            let message =
+                "the request bodies held by this daemon have reached their total size limit";
             let failure = Failure::not_run(503, "too_many_bytes", message);
             return Err(failure.with_retry_after_ms(MEMORY_RETRY_MS));
         }
@@ -54,7 +56,10 @@
     }
 }
 
-/// Reads the whole body of a request.
+/// Reads the complete body of a request.
+///
+/// Fails if the body is too large, incomplete or not received in time, or if all bodies together
+/// exceed their limit.
 pub(crate) async fn read(daemon: &Arc<Daemon>, conn: &mut Conn) -> Result<Body, Failure> {
     let limits = &daemon.settings.limits;
     let reading = async {
@@ -90,7 +95,7 @@
     reading.or(timed_out).await
 }
 
-/// Reads on for a while and keeps nothing.
+/// Reads and discards the rest of a body, within [`MAX_DRAINED_BYTES`] and [`DRAIN_MS`].
 async fn drain(reader: &mut (impl AsyncRead + Unpin), chunk: &mut [u8]) {
     let reading = async {
         let mut total = 0;
@@ -108,7 +113,7 @@
 }
 
 fn incomplete(error: &io::Error) -> Failure {
-    let message = format!("the body did not arrive whole: {error}");
+    let message = format!("the body is incomplete: {error}");
     Failure::not_run(400, "broken_body", message)
 }
 
--- a/crates/trestled/src/entry/call.rs
+++ b/crates/trestled/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before its body is read.
+//! The parts of a request that are read before its body.
 
 use super::Failure;
 use crate::daemon::Daemon;
@@ -11,12 +11,13 @@
 use trestle_wire::headers;
 use trillium::Conn;
 
-/// Longest request id that is taken from a caller.
+/// Maximum length of a request id set by a caller.
 const MAX_REQUEST_ID_CHARS: usize = 128;
-/// When to come back after the tenant's limit was reached.
+/// Retry delay for a request that exceeds its tenant's limit of concurrent requests.
 const TENANT_BUSY_RETRY_MS: u64 = 500;
 
-/// What is known of a request before its body is read.
+/// The parts of a request that are read before its body, with the configuration that was in force
+/// when it arrived.
 pub(crate) struct Call {
     pub(crate) request_id: String,
     pub(crate) tenant: TeamName,
@@ -28,7 +29,10 @@
 }
 
 impl Call {
-    /// Reads token and headers.
+    /// Reads the token and the headers, and counts the request against its tenant's limit.
+    ///
+    /// Fails if no configuration is in force yet, if the token or a header is invalid, or if the
+    /// tenant's limit is reached.
     pub(crate) fn new(
         daemon: &Arc<Daemon>,
         conn: &Conn,
@@ -55,7 +59,7 @@
         })
     }
 
-    /// Time until the whole answer is due.
+    /// Returns the time left until the deadline for the complete answer; zero once it has passed.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -116,7 +120,8 @@
     Err(Failure::not_run(400, "bad_request_id", message))
 }
 
-/// One of the requests a tenant may have at this daemon.
+/// A request that counts against its tenant's limit of concurrent requests at this daemon until the
+/// value is dropped.
 struct TenantSlot {
     daemon: Arc<Daemon>,
     tenant: TeamName,
@@ -127,7 +132,9 @@
         let mut traffic = daemon.traffic();
         let count = traffic.requests_by_tenant.entry(tenant.clone()).or_default();
         if *count >= limit {
-            let message = format!("the tenant has {limit} requests here already");
+            let message = format!(
+                "the tenant has reached its limit of {limit} concurrent requests at this daemon"
+            );
             return Err(Failure::not_run(429, "tenant_busy", message)
                 .with_retry_after_ms(TENANT_BUSY_RETRY_MS));
         }
--- a/crates/trestled/src/entry/endpoint_search.rs
+++ b/crates/trestled/src/entry/endpoint_search.rs
@@ -1,9 +1,9 @@
-//! Finding an endpoint for a request to a model.
+//! The search for an endpoint that can run a request to a model.
 //!
-//! Every daemon asks the same candidate first, so a burst for a cold model at
-//! many daemons starts one load. A candidate whose queue is longer than a load
-//! would take says so, and the next one is asked; that is how a further replica
-//! comes to be loaded. If all are busy, the least busy one is waited for.
+//! All daemons query the candidates in the same order, so that a burst of requests for a cold model
+//! at many daemons starts a single load. An owner whose queue is longer than a load would take
+//! answers that its endpoint is busy, and the next candidate is queried; this is how another
+//! replica comes to be loaded. If all candidates are busy, the request waits at the least busy one.
 
 use super::{Failure, call::Call};
 use crate::{
@@ -19,28 +19,37 @@
 use trestle_core::names::{EndpointName, ModelName};
 use trestle_wire::peer::{WireAnswer, WireRefusal};
 
-/// When to come back if no owner of a fitting endpoint can be found.
+/// Retry delay if no owner of a suitable endpoint can be found.
 const NO_OWNER_RETRY_MS: u64 = 2_000;
-/// When to come back if the model is not placed anywhere yet.
+/// Retry delay if the model is not placed at any endpoint yet.
 const NOT_PLACED_RETRY_MS: u64 = 2_000;
 
-/// Time for which an owner is looked for while there may be none.
+/// Time limit of the search while an endpoint that lost its owner may soon get another one.
 const OWNER_SEARCH: Duration = Duration::from_secs(4);
-/// Time for which a place is looked for while rows may be on their way.
+/// Time limit of the search otherwise; changes of placement and membership may not have reached all
+/// daemons yet.
 const PLACEMENT_SEARCH: Duration = Duration::from_secs(1);
-/// Time between two rounds of looking.
+/// Time between two rounds of the search.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What asking the candidates has led to so far.
+/// The answers of the candidates in one round.
 #[derive(Default)]
 struct SearchState {
+    /// The busy endpoint with the shortest expected wait, and this wait in milliseconds.
     least_busy: Option<(u64, EndpointName)>,
+    /// The refusal with the shortest retry delay, and this delay in milliseconds.
     refusal: Option<(u64, WireRefusal)>,
+    /// Whether any owner has answered.
     has_reached_owner: bool,
+    /// Whether a candidate lost its owner recently, so that it may soon get another one.
     has_lost_owner: bool,
 }
 
-/// Waits for a permit at any endpoint that may serve the model.
+/// Searches for an endpoint that may run the model, and waits for a permit there. Excluded
+/// endpoints are queried after the others.
+///
+/// Fails if no endpoint grants a permit and an owner has refused the request, or if the search
+/// reaches its time limit or the request its deadline.
 pub(crate) async fn acquire_permit(
     daemon: &Arc<Daemon>,
     call: &Call,
@@ -62,7 +71,8 @@
     }
 }
 
-/// Asks one candidate after the other, and then the least busy one again.
+/// Queries the candidates one by one, and then the least busy one again, this time with no limit on
+/// its wait but the deadline.
 async fn try_candidates(
     daemon: &Arc<Daemon>,
     call: &Call,
@@ -105,8 +115,11 @@
     outcome
 }
 
-/// Candidates in order: those with a bad record later, and last those that lately
-/// said that the model is not placed there.
+/// Returns the candidates in the order in which they are queried.
+///
+/// Endpoints that are excluded or avoided after failures come after the others, and last those
+/// whose owner recently reported that the model is not placed there. Endpoints that are draining
+/// are left out.
 fn candidates(
     daemon: &Daemon,
     model: &ModelName,
@@ -169,7 +182,7 @@
         }
     }
 
-    /// Whether another round may find what this one has not.
+    /// Returns whether another round of the search may succeed.
     fn may_change(&self, searched: Duration) -> bool {
         let is_refused = self.refusal.is_some() || self.least_busy.is_some();
         if is_refused {
@@ -184,11 +197,13 @@
             return refusal_failure(reason, model).with_retry_after_ms(retry_after_ms);
         }
         if self.has_reached_owner && !self.has_lost_owner {
-            let message = format!("model `{model}` has no place yet; it is being decided");
+            let message = format!(
+                "model `{model}` is not placed at any engine yet; its placement is being decided"
+            );
             return Failure::not_run(503, "not_placed", message)
                 .with_retry_after_ms(NOT_PLACED_RETRY_MS);
         }
-        let message = format!("no daemon in charge of an engine for `{model}` can be reached");
+        let message = format!("no owner of an engine for model `{model}` can be reached");
         Failure::not_run(503, "no_owner", message).with_retry_after_ms(NO_OWNER_RETRY_MS)
     }
 }
@@ -201,7 +216,7 @@
         WireRefusal::TenantQueueFull => {
             (429, "tenant_queue_full", "has too many requests of this tenant waiting")
         }
-        WireRefusal::Leaving => (503, "endpoint_leaving", "has only engines that are leaving"),
+        WireRefusal::Leaving => (503, "endpoint_leaving", "has only engines that are draining"),
         WireRefusal::EndpointSilent => {
             (503, "endpoint_silent", "has only engines that do not answer")
         }
--- a/crates/trestled/src/entry/engine_call.rs
+++ b/crates/trestled/src/entry/engine_call.rs
@@ -1,6 +1,7 @@
-//! Sending a completion request to an engine, and checking what comes back.
+//! Sends completion requests to engines and validates the answers.
 //!
-//! An answer is passed on only if it carries the request's own id and is whole.
+//! An answer is forwarded only if it carries the id of its request and is complete. An answer that
+//! is streamed is checked event by event.
 
 use super::{
     InFlight,
@@ -19,28 +20,30 @@
 use trillium::Body;
 use trillium_client::Conn;
 
-/// Parts of a stream that may wait for a slow caller.
+/// Number of parts of a stream that are buffered for a slow caller.
 const MAX_BUFFERED_PARTS: usize = 16;
-/// Largest whole answer of an engine.
+/// Maximum size of an answer that is not streamed.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// What sending has led to.
+/// The outcome of sending a request to an engine.
 pub(crate) enum SendOutcome {
-    /// The whole answer.
+    /// A complete answer that is not streamed.
     Complete { content_type: String, body: Vec<u8> },
-    /// An answer that comes in parts, the first of which is there.
+    /// A streamed answer whose first part has been received.
     Stream(Body),
-    /// The engine did not run the request.
+    /// The request was not run, for the reason given.
     NotRun(String),
-    /// The engine failed, or its answer cannot be used.
+    /// The engine failed or its answer is not valid, for the reason given; the request may have
+    /// run.
     Failed(String),
-    /// The engine says that the request is wrong.
+    /// The engine rejected the request with this HTTP status.
     Rejected { status: u16, message: String },
-    /// The deadline came first.
+    /// The deadline passed before the answer was complete, or before a stream began.
     DeadlinePassed,
 }
 
-/// Sends the request; the permit is given back at the end of the answer.
+/// Sends a request to the engine of the permit. The permit is released at the end of the answer,
+/// also where that is streamed.
 pub(crate) async fn send(
     daemon: &Arc<Daemon>,
     call: &Call,
@@ -52,7 +55,7 @@
         return SendOutcome::NotRun("the engine is no longer declared".to_owned());
     };
     if !permit.is_usable() {
-        return SendOutcome::NotRun("the permit is too old to be used".to_owned());
+        return SendOutcome::NotRun("the permit has expired".to_owned());
     }
     let url = format!("{url}{}", completion.path);
     let timed_out = async {
@@ -103,7 +106,7 @@
     SendOutcome::Failed(format!("the connection to the engine broke: {error}"))
 }
 
-/// Whether the connection was refused, so that nothing can have been sent.
+/// Returns whether the connection was refused, which proves that nothing was sent.
 pub(crate) fn is_connection_refused(error: &trillium_client::Error) -> bool {
     match error {
         trillium_client::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -119,10 +122,14 @@
     let body = conn.response_body().with_max_len(MAX_ANSWER_BYTES).read_bytes().await;
     let body = match body {
         Ok(body) => body,
-        Err(error) => return SendOutcome::Failed(format!("the answer broke off: {error}")),
+        Err(error) => {
+            return SendOutcome::Failed(format!(
+                "the connection broke before the end of the answer: {error}"
+            ));
+        }
     };
     let Ok(content) = serde_json::from_slice::<Value>(&body) else {
-        return SendOutcome::Failed("the answer is cut or not JSON".to_owned());
+        return SendOutcome::Failed("the answer is incomplete or not JSON".to_owned());
     };
     if content["id"].as_str() != Some(call.request_id.as_str()) {
         return SendOutcome::Failed("the answer belongs to another request".to_owned());
@@ -136,7 +143,8 @@
     header.unwrap_or("application/json").to_owned()
 }
 
-/// Waits for the first part, so that a failure before it can still be retried.
+/// Forwards a streamed answer in a task of its own, and returns once the first part has been
+/// received, so that a failure before it can still be retried.
 async fn start_stream(call: &Call, conn: Conn, permit: Permit, in_flight: InFlight) -> SendOutcome {
     let (parts, received) = async_channel::bounded(MAX_BUFFERED_PARTS);
     let request_id = call.request_id.clone();
@@ -157,7 +165,7 @@
     let first = match received.recv().await {
         Ok(Ok(first)) => first,
         Ok(Err(message)) => return SendOutcome::Failed(message),
-        Err(_) => return SendOutcome::Failed("the answer ended before it began".to_owned()),
+        Err(_) => return SendOutcome::Failed("the answer ended before its first part".to_owned()),
     };
     let request_id = call.request_id.clone();
     let rest = received
@@ -166,12 +174,13 @@
     SendOutcome::Stream(Body::new_streaming(Box::pin(all).into_async_read(), None))
 }
 
+/// How the forwarding of a streamed answer ended.
 enum StreamEnd {
     Done,
     Aborted(String),
 }
 
-/// Passes events on as long as they belong to the request.
+/// Forwards events until the end of the answer, or until one belongs to another request.
 async fn forward_events(
     mut conn: Conn,
     request_id: &str,
@@ -181,8 +190,16 @@
     loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => return StreamEnd::Aborted("the answer broke off".to_owned()),
-            Err(error) => return StreamEnd::Aborted(format!("the answer broke off: {error}")),
+            Ok(None) => {
+                return StreamEnd::Aborted(
+                    "the connection was closed before the end of the answer".to_owned(),
+                );
+            }
+            Err(error) => {
+                return StreamEnd::Aborted(format!(
+                    "the connection broke before the end of the answer: {error}"
+                ));
+            }
         };
         let is_last = match event.classify(request_id) {
             EventKind::Part => false,
@@ -197,7 +214,7 @@
     }
 }
 
-/// The event that tells a caller that the answer is not whole.
+/// Returns the event that informs a caller that the answer is incomplete.
 fn error_event(message: &str, request_id: &str) -> Vec<u8> {
     let failure = super::Failure::unknown(502, "answer_cut", message);
     format!("event: error\ndata: {}\n\n", failure.to_json(request_id)).into_bytes()
--- a/crates/trestled/src/entry/failure.rs
+++ b/crates/trestled/src/entry/failure.rs
@@ -1,51 +1,54 @@
-//! Refusals and failures, as callers see them.
+//! Failures as they are reported to callers.
 
 use serde_json::json;
 use trestle_wire::headers;
 use trillium::{Conn, Status};
 
-/// Why a request did not get an answer.
+/// The reason why a request got no answer of its own.
 #[trestle_macros::plain]
 pub(crate) struct Failure {
+    /// The HTTP status of the response.
     pub(crate) status: u16,
-    /// Stable, for programs.
+    /// A stable identifier for programs.
     pub(crate) code: &'static str,
-    /// For people.
+    /// A description for people.
     pub(crate) message: String,
+    /// Whether the request was run.
     pub(crate) outcome: Outcome,
+    /// The delay after which the caller should retry; `None` if the failure names no delay.
     pub(crate) retry_after_ms: Option<u64>,
 }
 
-/// Whether a request was run.
+/// Whether a request that failed was run.
 #[trestle_macros::plain]
 #[derive(Copy)]
 pub(crate) enum Outcome {
-    /// It was not, and will not be.
+    /// The request was not run and will not be.
     NotRun,
-    /// Nobody can tell.
+    /// The request may have run.
     Unknown,
 }
 
 impl Failure {
-    /// A request that was not run.
+    /// Returns a failure of a request that was not run.
     pub(crate) fn not_run(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         let outcome = Outcome::NotRun;
         Self { status, code, message: message.into(), outcome, retry_after_ms: None }
     }
 
-    /// A request that may have run.
+    /// Returns a failure of a request that may have run.
     pub(crate) fn unknown(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         let outcome = Outcome::Unknown;
         Self { status, code, message: message.into(), outcome, retry_after_ms: None }
     }
 
-    /// The same, with the time to come back.
+    /// Returns the failure with a retry delay.
     pub(crate) fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The body that tells a caller.
+    /// Returns the JSON body that describes the failure.
     pub(crate) fn to_json(&self, request_id: &str) -> serde_json::Value {
         json!({"error": {
             "code": self.code,
@@ -56,7 +59,7 @@
         }})
     }
 
-    /// The answer that tells a caller.
+    /// Writes the failure into the response.
     pub(crate) fn into_answer(self, conn: Conn, request_id: &str) -> Conn {
         let body = self.to_json(request_id).to_string();
         let status = Status::try_from(self.status).unwrap_or(Status::InternalServerError);
--- a/crates/trestled/src/entry/model.rs
+++ b/crates/trestled/src/entry/model.rs
@@ -1,4 +1,4 @@
-//! Requests to models.
+//! Completion requests to models and adapters.
 
 use super::{
     Failure, InFlight, body,
@@ -13,12 +13,12 @@
 use trestle_wire::headers;
 use trillium::{Body, Conn};
 
-/// Times one request is sent to an engine at most.
+/// Maximum number of attempts to run a request at an engine.
 const MAX_ATTEMPTS: u32 = 3;
-/// When to come back after engines have failed.
+/// Retry delay after all attempts at engines failed.
 const FAILED_RETRY_MS: u64 = 1_000;
 
-/// What a request asks an engine for.
+/// A completion request as it is sent to an engine.
 #[derive(Clone)]
 pub(crate) struct Completion {
     pub(crate) path: String,
@@ -27,7 +27,7 @@
     pub(crate) is_stream: bool,
 }
 
-/// An answer on its way to the caller.
+/// An answer for the caller.
 pub(crate) struct Answer {
     content_type: String,
     body: Body,
@@ -52,7 +52,7 @@
             .ok(answer.body),
         Some(Err(failure)) => answer_failure(daemon, call, conn, failure),
         None => {
-            tracing::debug!("entry: Caller of request {} has gone.", call.request_id);
+            tracing::debug!("entry: The caller of request {} has disconnected.", call.request_id);
             conn
         }
     }
@@ -63,7 +63,11 @@
     failure.into_answer(conn, &call.request_id)
 }
 
-/// Reads the request; its body counts among all bodies as long as it is kept.
+/// Reads and parses the body of a request.
+///
+/// The body is returned along with the completion, because it counts against the limit on all
+/// bodies as long as it exists. Fails if the body cannot be read, is not JSON or names an unknown
+/// model.
 async fn read_completion(
     daemon: &Arc<Daemon>,
     call: &Call,
@@ -92,7 +96,7 @@
 ) -> Result<Answer, Failure> {
     daemon.traffic().retries.deposit();
     let mut excluded = BTreeSet::new();
-    let mut last = Failure::not_run(503, "engine_failed", "the engine could not serve");
+    let mut last = Failure::not_run(503, "engine_failed", "no engine could run the request");
     for attempt in 1..=MAX_ATTEMPTS {
         if attempt > 1 && !try_withdraw_retry(daemon) {
             break;
@@ -110,7 +114,10 @@
             Ok(answer) => answer,
             Err(AttemptError::Final(failure)) => return Err(failure),
             Err(AttemptError::Retryable(failure)) => {
-                tracing::warn!("entry: {endpoint} failed: {}.", failure.message);
+                tracing::warn!(
+                    "entry: An attempt at endpoint {endpoint} failed: {}.",
+                    failure.message
+                );
                 excluded.insert(endpoint);
                 last = failure;
                 continue;
@@ -130,11 +137,11 @@
     is_withdrawn
 }
 
-/// A try that gave no answer.
+/// The error of an attempt that returned no answer.
 enum AttemptError {
-    /// Another one may.
+    /// Another attempt is allowed.
     Retryable(Failure),
-    /// Another one must not.
+    /// Another attempt is not allowed.
     Final(Failure),
 }
 
@@ -171,7 +178,7 @@
         }
         SendOutcome::DeadlinePassed => {
             health.record_failure(now_ms);
-            let message = "no whole answer came by the deadline; the request may have run";
+            let message = "no complete answer arrived by the deadline; the request may have run";
             Err(AttemptError::Final(Failure::unknown(504, "deadline_passed", message)))
         }
     }
--- a/crates/trestled/src/entry/models_list.rs
+++ b/crates/trestled/src/entry/models_list.rs
@@ -1,10 +1,10 @@
-//! The list of what callers may name as `model`.
+//! The list of names that callers may send as `model`.
 
 use crate::daemon::Daemon;
 use serde_json::json;
 use trillium::Conn;
 
-/// Answers with all models and adapters.
+/// Responds with all models and adapters.
 pub(crate) fn answer(daemon: &Daemon, conn: Conn) -> Conn {
     let config = &daemon.routing().config;
     let models = config.catalog.models.keys().map(|name| (name.as_str(), None));
--- a/crates/trestled/src/entry/server_selection.rs
+++ b/crates/trestled/src/entry/server_selection.rs
@@ -1,21 +1,23 @@
-//! Choosing a server of a plain service.
+//! Selection of a server for a call to a plain service.
 
 use crate::daemon::Daemon;
 use std::sync::Arc;
 use trestle_config::Service;
 use trestle_core::names::EndpointName;
 
-/// A place at a server, given back when it is dropped.
+/// One of the concurrent calls that this daemon may send to a server. It is released when the value
+/// is dropped.
 pub(crate) struct ServerSlot {
     pub(crate) endpoint: EndpointName,
     pub(crate) url: String,
     daemon: Arc<Daemon>,
 }
 
-/// Servers that may take a call, best first.
+/// Returns the servers that may receive a call, best first.
 ///
-/// Servers with a good record come first, then those of the daemon's own
-/// domain, then those to which it has sent least.
+/// Servers that are avoided after failures come last, and before them those that are at their limit
+/// of concurrent calls. The others are sorted by failure domain, the daemon's own first, and then
+/// by the number of this daemon's calls in flight.
 pub(crate) fn ranked(daemon: &Daemon, service: &Service) -> Vec<EndpointName> {
     let routing = daemon.routing();
     let now_ms = daemon.now_ms();
@@ -36,7 +38,8 @@
     servers.into_iter().map(|(.., name)| name.clone()).collect()
 }
 
-/// Takes a place at a server, if it has one left for this daemon.
+/// Reserves a call at a server; `None` if the service does not list the server, or if the daemon
+/// has reached its limit of concurrent calls there.
 pub(crate) fn acquire_slot(
     daemon: &Arc<Daemon>,
     service: &Service,
@@ -53,7 +56,7 @@
 }
 
 impl ServerSlot {
-    /// Notes whether the server gave a whole answer.
+    /// Records whether the server returned a complete answer.
     pub(crate) fn record_outcome(&self, succeeded: bool) {
         let now_ms = self.daemon.now_ms();
         let mut traffic = self.daemon.traffic();
--- a/crates/trestled/src/entry/service.rs
+++ b/crates/trestled/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls of callers to plain services.
 
 use super::{
     Failure, body,
@@ -15,13 +15,13 @@
 use trestle_wire::{claim::claim_key, headers};
 use trillium::{Conn, Status};
 
-/// Times one call that may be repeated is sent at most.
+/// Maximum number of attempts to send a repeatable call.
 const MAX_ATTEMPTS: usize = 3;
-/// When to come back after servers have failed.
+/// Retry delay after a call could not be sent, failed, or has an unknown outcome.
 const FAILED_RETRY_MS: u64 = 1_000;
-/// When to come back while the platform does not answer.
+/// Retry delay while the platform does not answer.
 const PLATFORM_RETRY_MS: u64 = 3_000;
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_CHARS: usize = 128;
 
 /// Answers a call to a plain service.
@@ -89,7 +89,7 @@
         return Ok((header.to_owned(), key.to_owned()));
     }
     let message = format!(
-        "this call may not be repeated; send `{header}` with a key of its own, \
+        "this call is not repeatable; send `{header}` with a unique key of \
          1 to {MAX_KEY_CHARS} letters, digits, `-`, `_`, `.` or `:`",
     );
     Err(Failure::not_run(400, "idempotency_key_missing", message))
@@ -126,7 +126,7 @@
 }
 
 fn busy() -> Failure {
-    let message = "every server of the service has as many calls as it takes";
+    let message = "every server of the service has reached its limit of concurrent calls";
     Failure::not_run(503, "service_busy", message)
 }
 
@@ -149,7 +149,7 @@
         ClaimOutcome::Answered(answer) => Ok(answer),
         ClaimOutcome::NotRun if daemon.platform_is_down() => {
             let message = "the platform does not answer, so the call was not claimed and not \
-                           sent; if the key was sent before, that may have run";
+                           sent; if the key was sent before, that earlier call may have run";
             Err(Failure::not_run(503, "platform_down", message)
                 .with_retry_after_ms(PLATFORM_RETRY_MS))
         }
@@ -158,13 +158,17 @@
             Err(Failure::not_run(503, "not_sent", message).with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::Unknown => {
-            let message = "the call may have run; ask again with the same key, \
+            let message = "                           which never runs it a second time
+the call may have run; send it again with the same key to learn its outcome; \
+                           it is never run a second time
                            which never runs it a second time";
             Err(Failure::unknown(504, "outcome_unknown", message)
                 .with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::OtherCall => {
-            let message = "the key stands for a call with another method, path or body; \
+            let message = "                           give each call a key of its own
+the key was used for a call with another method, path or body; \
+                           use a different key for each call
                            give each call a key of its own";
             Err(Failure::not_run(409, "idempotency_key_reused", message))
         }
--- a/crates/trestled/src/entry/service_call.rs
+++ b/crates/trestled/src/entry/service_call.rs
@@ -1,4 +1,4 @@
-//! Sending a call to a server of a plain service.
+//! Sends a call to a server of a plain service.
 
 use super::{engine_call::is_connection_refused, server_selection::ServerSlot};
 use futures_lite::FutureExt;
@@ -7,23 +7,23 @@
 use trillium::Method;
 use trillium_client::{Client, Conn};
 
-/// Largest answer of a plain service.
+/// Maximum size of an answer of a plain service.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// A call to a plain service.
+/// A call as it is sent to a server.
 #[derive(Clone)]
 pub(crate) struct ServiceCall {
     pub(crate) method: Method,
-    /// Path and query at the server.
+    /// The path and query of the URL at the server.
     pub(crate) path: String,
     pub(crate) body: Vec<u8>,
     pub(crate) content_type: Option<String>,
     pub(crate) request_id: String,
-    /// Header and value of the idempotency key.
+    /// The name of the idempotency header and the key; `None` for a repeatable call.
     pub(crate) key: Option<(String, String)>,
 }
 
-/// The whole answer of a server.
+/// A complete answer of a server.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceAnswer {
     pub(crate) status: u16,
@@ -31,16 +31,18 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// What sending has led to.
+/// The outcome of sending a call.
 pub(crate) enum CallOutcome {
+    /// A complete answer was received.
     Answered(ServiceAnswer),
-    /// Nothing was sent.
+    /// Nothing was sent, for the reason given.
     NotSent(String),
-    /// The call may have run, and its answer is lost.
+    /// The call may have run and no valid answer was received, for the reason given.
     AnswerLost(String),
 }
 
-/// Sends a call once.
+/// Sends a call once, and records in the server's health whether a complete answer arrived within
+/// `limit`.
 pub(crate) async fn send(
     client: &Client,
     slot: &ServerSlot,
@@ -49,7 +51,7 @@
 ) -> CallOutcome {
     let timed_out = async {
         smol::Timer::after(limit).await;
-        CallOutcome::AnswerLost("no answer came in time".to_owned())
+        CallOutcome::AnswerLost("no answer arrived in time".to_owned())
     };
     let outcome = exchange(client, slot, call).or(timed_out).await;
     slot.record_outcome(matches!(outcome, CallOutcome::Answered(_)));
@@ -96,10 +98,16 @@
     let expected = body.content_length();
     let body = match body.read_bytes().await {
         Ok(body) => body,
-        Err(error) => return CallOutcome::AnswerLost(format!("the answer broke off: {error}")),
+        Err(error) => {
+            return CallOutcome::AnswerLost(format!(
+                "the connection broke before the end of the answer: {error}"
+            ));
+        }
     };
     if expected.is_some_and(|length| length != body.len() as u64) {
-        return CallOutcome::AnswerLost("the answer broke off".to_owned());
+        return CallOutcome::AnswerLost(
+            "the connection was closed before the end of the answer".to_owned(),
+        );
     }
     if answered_id != request_id {
         return CallOutcome::AnswerLost("the answer belongs to another request".to_owned());
--- a/crates/trestled/src/entry/sse.rs
+++ b/crates/trestled/src/entry/sse.rs
@@ -1,32 +1,32 @@
-//! Server-sent events, read one by one.
+//! A reader of server-sent events.
 
 use futures_lite::{AsyncRead, AsyncReadExt};
 use serde_json::Value;
 use std::io;
 
-/// Largest event that is taken from an engine.
+/// Maximum size of an event of an engine.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 const READ_BYTES: usize = 8 << 10;
 const END_OF_EVENT: &[u8] = b"\n\n";
 const DATA_PREFIX: &str = "data:";
 const END_OF_STREAM: &str = "[DONE]";
 
-/// Events as they arrive.
+/// Splits a byte stream into events.
 pub(crate) struct EventReader<R> {
     reader: R,
     buffer: Vec<u8>,
 }
 
-/// One event, with the blank line that ends it.
+/// The bytes of one event, including the blank line at its end.
 pub(crate) struct RawEvent(Vec<u8>);
 
-/// What an event is to a request.
+/// How an event relates to a request.
 pub(crate) enum EventKind {
-    /// A part of its answer.
+    /// A part of the request's answer.
     Part,
-    /// The end of its answer.
+    /// The end of the request's answer.
     Last,
-    /// Something that does not belong to it.
+    /// An event that does not belong to the request.
     Foreign,
 }
 
@@ -35,7 +35,8 @@
         Self { reader, buffer: Vec::new() }
     }
 
-    /// The next event; `None` at the end.
+    /// Returns the next event, or `None` at the end of the stream. Fails if the stream cannot be
+    /// read or an event is too long.
     pub(crate) async fn next(&mut self) -> io::Result<Option<RawEvent>> {
         loop {
             if let Some(end) = self.event_end() {
@@ -43,7 +44,7 @@
                 return Ok(Some(RawEvent(std::mem::replace(&mut self.buffer, rest))));
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
-                return Err(io::Error::other("an event is too long"));
+                return Err(io::Error::other("an event exceeds the size limit"));
             }
             let mut chunk = [0; READ_BYTES];
             let count = self.reader.read(&mut chunk).await?;
@@ -62,7 +63,7 @@
 }
 
 impl RawEvent {
-    /// What the event is to the request with the id.
+    /// Returns how the event relates to the request with the id.
     pub(crate) fn classify(&self, request_id: &str) -> EventKind {
         let text = String::from_utf8_lossy(&self.0);
         let data: String =
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The event as it came.
+    /// Returns the bytes of the event, unchanged.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         self.0
     }
--- a/crates/trestled/src/error.rs
+++ b/crates/trestled/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the daemon, all of them at its start.
+//! Errors that prevent the start of the daemon.
 
 use snafu::Snafu;
 use std::{io, net::SocketAddr};
@@ -6,7 +6,7 @@
 /// The result of starting the daemon.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// The daemon cannot start.
+/// An error that prevents the start of the daemon.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
--- a/crates/trestled/src/main.rs
+++ b/crates/trestled/src/main.rs
@@ -1,13 +1,16 @@
 //! The daemon of trestlestile.
 //!
-//! One daemon runs on each entry VM, and all are alike. A daemon has two sides:
+//! One daemon runs on each entry VM, and all daemons are alike. A daemon consists of two parts:
 //!
-//! - *Control*: one thread holds a [`trestle_core::node::Node`] and nothing
-//!   else changes it ([`control`]). What the node asks for is carried out by
-//!   [`shell`], and comes back as events.
-//! - *Traffic*: all other threads carry requests ([`entry`]), serve peers
-//!   ([`peer_server`]) and operators ([`admin`]). They ask the control thread by
-//!   message, and read what they need to know from [`routing`].
+//! - *Control*: one thread holds the [`trestle_core::control_state::ControlState`] values, and no
+//!   other thread accesses them ([`control`]). The actions that they return are executed by
+//!   [`actions`], and the results come back as events.
+//! - *Traffic*: all other threads process requests ([`entry`]) and serve peers ([`peer_server`])
+//!   and operators ([`admin`]). They send messages to the control thread, and read configuration
+//!   and membership from [`routing`].
+//!
+//! This describes daemons for engines that implement the project's own interface. With the settings
+//! of an entry daemon, the process runs [`trestle_entry`] instead.
 
 mod actions;
 mod admin;
--- a/crates/trestled/src/message.rs
+++ b/crates/trestled/src/message.rs
@@ -1,4 +1,4 @@
-//! What the control thread takes.
+//! Messages to the control thread.
 
 use async_channel::Sender;
 use trestle_core::{
@@ -8,16 +8,16 @@
 };
 use trestle_wire::admin::Status;
 
-/// What the control thread takes.
+/// A message to the control thread.
 pub(crate) enum Message {
-    /// Something happened at one endpoint, or to the whole daemon.
+    /// An event at one endpoint or in the whole daemon.
     Event(Event),
-    /// Something happened in one failure domain.
+    /// An event in one failure domain.
     DomainEvent(DomainName, Event),
-    /// An entry daemon asks for a permit.
+    /// An entry daemon requests a permit.
     PermitRequest(PermitRequest, Sender<PermitAnswer>),
-    /// A peer asks whether this daemon owns an endpoint.
+    /// A peer queries whether this daemon owns an endpoint.
     OwnershipQuery(EndpointName, Sender<bool>),
-    /// An operator asks for the state of the daemon.
+    /// An operator queries the state of the daemon.
     StatusQuery(Sender<Status>),
 }
--- a/crates/trestled/src/metrics.rs
+++ b/crates/trestled/src/metrics.rs
@@ -9,11 +9,11 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use snafu::ResultExt;
 
-/// Upper bounds of the histograms, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BOUNDS_MS: [f64; 16] =
     [1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1e3, 2e3, 5e3, 1e4, 2e4, 6e4, 3e5];
 
-/// Metrics of the daemon.
+/// The metrics of the daemon.
 pub(crate) struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -29,7 +29,7 @@
 }
 
 impl Metrics {
-    /// Metrics that can be scraped.
+    /// Creates the metrics. Fails if the exporter cannot be set up.
     pub(crate) fn new() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub(crate) fn record_request(
         &self,
         tenant: &str,
@@ -80,7 +80,7 @@
         self.request_ms.record(time_ms, &labels);
     }
 
-    /// Notes the time a request waited for its permit.
+    /// Records the time that a request waited for its permit.
     pub(crate) fn record_wait(&self, tenant: &str, class: &str, is_cold: bool, time_ms: f64) {
         let labels =
             [KeyValue::new("tenant", tenant.to_owned()), KeyValue::new("class", class.to_owned())];
@@ -90,38 +90,38 @@
         }
     }
 
-    /// Notes a refusal.
+    /// Records a failure that was returned to a caller.
     pub(crate) fn record_refusal(&self, tenant: &str, code: &'static str) {
         let labels = [KeyValue::new("tenant", tenant.to_owned()), KeyValue::new("code", code)];
         self.refused.add(1, &labels);
     }
 
-    /// Notes that a request was sent again.
+    /// Records that a request was retried.
     pub(crate) fn record_retry(&self) {
         self.retries.add(1, &[]);
     }
 
-    /// Notes a read of the table.
+    /// Records a read of the platform's table.
     pub(crate) fn record_table_read(&self) {
         self.table_reads.add(1, &[]);
     }
 
-    /// Notes a write to the table.
+    /// Records a write to the platform's table.
     pub(crate) fn record_table_write(&self) {
         self.table_writes.add(1, &[]);
     }
 
-    /// Notes the configuration in force.
+    /// Records the version of the configuration in force.
     pub(crate) fn record_config_version(&self, version: u64) {
         self.config_version.record(version, &[]);
     }
 
-    /// Notes the epoch of the domain.
+    /// Records the epoch of a failure domain.
     pub(crate) fn record_epoch(&self, domain: &str, epoch: u64) {
         self.epoch.record(epoch, &[KeyValue::new("domain", domain.to_owned())]);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format; empty if they cannot be encoded.
     pub(crate) fn to_text(&self) -> String {
         let mut text = Vec::new();
         if TextEncoder::new().encode(&self.registry.gather(), &mut text).is_err() {
--- a/crates/trestled/src/peer_server.rs
+++ b/crates/trestled/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Serves other daemons.
+//! The server for other daemons, which are the peers of this one.
 
 use crate::{
     daemon::Daemon,
@@ -24,7 +24,7 @@
     row::WireMembership,
 };
 
-/// Begins to listen for peers.
+/// Binds the listener for peers. Fails if the address cannot be used.
 pub(crate) async fn listen(daemon: &Daemon) -> Result<TcpListener> {
     let address = daemon.peers_address();
     TcpListener::bind(address).await.context(ListenSnafu { address })
@@ -35,14 +35,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => smol::spawn(serve(Arc::clone(&daemon), stream)).detach(),
-            Err(error) => tracing::warn!("peer: A connection was not accepted: {error}."),
+            Err(error) => tracing::warn!("peer: A connection could not be accepted: {error}."),
         }
     }
 }
 
 async fn serve(daemon: Arc<Daemon>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!("peer: A connection stays slow: {error}.");
+        tracing::debug!("peer: TCP_NODELAY could not be set on a connection: {error}.");
     }
     let framed = LengthDelimitedCodec::builder().new_framed(stream.compat());
     let transport = serde_transport::new(framed, Bincode::default());
@@ -53,7 +53,7 @@
     Compat::new(each).await;
 }
 
-/// Answers the questions of peers.
+/// Answers the requests of peers.
 #[derive(Clone)]
 struct PeerServer(Arc<Daemon>);
 
--- a/crates/trestled/src/permit_client.rs
+++ b/crates/trestled/src/permit_client.rs
@@ -1,10 +1,10 @@
-//! Asking the owner of an endpoint for a permit.
+//! Requests permits from the owners of endpoints.
 //!
-//! The chain of owners is known from the membership of the endpoint's domain.
-//! The first is asked; if it does not answer, or says that it is not the owner,
-//! the next one is asked, and told how many before it do not serve. While an
-//! ask waits, the owner is asked now and then whether it is still there, so an
-//! owner that has frozen is noticed long before the deadline.
+//! The chain of owners of an endpoint follows from the membership of its failure domain. The
+//! request goes to the first owner of the chain. If that one does not answer or reports that it is
+//! not the owner, the next one is tried, and is told how many owners before it failed. While a
+//! request waits, the daemon checks at intervals whether the owner still answers, so a frozen owner
+//! is detected long before the deadline.
 
 use crate::{daemon::Daemon, message::Message};
 use futures_lite::FutureExt;
@@ -21,43 +21,51 @@
 };
 use trestle_wire::peer::{WireAnswer, WireAsk, WireRefusal};
 
-/// Time between two questions to an owner whether it is still there.
+/// Interval at which the daemon checks that the owner of a waiting request still answers.
 const LIVENESS_INTERVAL_MS: u64 = 500;
-/// When a caller should come back, with more time, if its own was over before an owner
-/// could be asked.
+/// Retry delay for a request whose deadline passed before any owner could be reached; the caller
+/// should allow more time.
 const DEADLINE_RETRY_MS: u64 = 1_000;
-/// Questions without an answer after which an owner counts as lost.
+/// Number of consecutive checks without an answer after which an owner counts as lost.
 const MAX_UNANSWERED: u32 = 2;
 
-/// What a request asks for.
+/// The parameters of a permit request.
 #[derive(Clone, Copy)]
 pub(crate) struct PermitParams<'a> {
     pub(crate) model: &'a ModelName,
     pub(crate) tenant: &'a TeamName,
     pub(crate) urgency: u8,
+    /// When the complete answer is due.
     pub(crate) deadline: Instant,
+    /// The longest wait that the request accepts at the endpoint; `None` if it waits until its
+    /// deadline.
     pub(crate) wait_limit_ms: Option<u64>,
 }
 
-/// A permit, given back when it is dropped.
+/// A permit to send one request to an endpoint. It is released when the value is dropped.
 pub(crate) struct Permit {
     pub(crate) endpoint: EndpointName,
+    /// Whether the request waited for its model to be loaded.
     pub(crate) is_cold: bool,
     received: Instant,
     daemon: Arc<Daemon>,
+    /// The address of the owner; `None` if this daemon owns the endpoint.
     owner_address: Option<String>,
     ticket: Ticket,
 }
 
-/// What became of an ask.
+/// The outcome of a permit request.
 pub(crate) enum PermitOutcome {
+    /// The request may be sent.
     Granted(Permit),
+    /// An owner answered, and granted no permit. The answer is also a refusal if the deadline
+    /// passed before any owner could be reached.
     Declined(WireAnswer),
-    /// No owner could be found.
+    /// No owner could be reached.
     NoOwner,
 }
 
-/// Asks the owner of an endpoint, whoever that is.
+/// Requests a permit from the owner of an endpoint, trying its chain of owners in order.
 pub(crate) async fn request_permit(
     daemon: &Arc<Daemon>,
     endpoint: &EndpointName,
@@ -88,14 +96,14 @@
             Some(WireAnswer::NotOwner { owner_rank: Some(owner) }) if usize::from(owner) > rank => {
                 rank = usize::from(owner);
             }
-            // The owner lives, but this daemon cannot reach it.
+            // The owner is alive, but this daemon cannot reach it.
             Some(WireAnswer::NotOwner { owner_rank: Some(_) }) => return PermitOutcome::NoOwner,
             Some(WireAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
             Some(answer) => return PermitOutcome::Declined(answer),
         }
     }
     if params.deadline <= Instant::now() {
-        // Nobody could be asked in time, which says nothing of the owners.
+        // The deadline passed before any owner was reached, which says nothing about the owners.
         let reason = WireRefusal::DeadlineTooClose;
         return PermitOutcome::Declined(WireAnswer::Refused {
             reason,
@@ -150,7 +158,7 @@
     answered.or(lost).await
 }
 
-/// Ends once the peer has not answered a few questions in a row.
+/// Returns once the peer has left [`MAX_UNANSWERED`] consecutive checks unanswered.
 async fn wait_until_silent(daemon: &Daemon, address: &str, endpoint: &EndpointName) {
     let mut unanswered = 0;
     while unanswered < MAX_UNANSWERED {
@@ -160,7 +168,8 @@
     }
 }
 
-/// Puts an ask to this daemon's own control thread, and withdraws it when dropped.
+/// Passes a permit request to this daemon's own control thread and waits for the answer. The
+/// request is cancelled if the future is dropped before that.
 pub(crate) async fn handle_request(daemon: Arc<Daemon>, request: WireAsk) -> WireAnswer {
     let ticket = daemon.next_ticket();
     let endpoint = EndpointName::from(request.endpoint.as_str());
@@ -175,7 +184,7 @@
     }
 }
 
-/// Withdraws an ask whose caller has gone before it was answered.
+/// Cancels a permit request when it is dropped while armed, because the requester is gone.
 struct CancelGuard {
     daemon: Arc<Daemon>,
     endpoint: EndpointName,
@@ -192,10 +201,10 @@
 }
 
 impl Permit {
-    /// Whether a request may still begin under it.
+    /// Returns whether a request may still be sent under the permit.
     ///
-    /// A daemon that was frozen may find that its permit is from long ago, and
-    /// that the endpoint has another owner by now.
+    /// If this daemon was frozen, its permit may be outdated and the endpoint may have another
+    /// owner by now.
     pub(crate) fn is_usable(&self) -> bool {
         self.received.elapsed() < Duration::from_millis(PERMIT_USE_MS)
     }
@@ -211,7 +220,9 @@
             (Arc::clone(&self.daemon), self.endpoint.clone(), self.ticket);
         let release = async move {
             if let Err(error) = daemon.peers.release(&address, endpoint.as_str(), ticket.0).await {
-                tracing::debug!("permit: A permit for {endpoint} was not given back: {error}.");
+                tracing::debug!(
+                    "permit: A permit for endpoint {endpoint} could not be released: {error}."
+                );
             }
         };
         smol::spawn(release).detach();
--- a/crates/trestled/src/placement_hints.rs
+++ b/crates/trestled/src/placement_hints.rs
@@ -1,17 +1,17 @@
-//! What a daemon remembers of places, so that it asks the right owner first.
+//! Hints about placements and owners, from earlier answers of owners.
 //!
-//! Nothing here is needed for a right answer: what is remembered only changes
-//! the order in which candidates are asked, and how long an owner is looked for.
+//! The hints affect only the order in which candidates are queried, and how long a request searches
+//! for an owner. Correctness does not depend on them.
 
 use std::collections::BTreeMap;
 use trestle_core::names::{EndpointName, ModelName};
 
-/// Time for which an answer that a model is not placed is remembered.
+/// Validity of an answer that a model is not placed at an endpoint.
 const NOT_PLACED_VALID_MS: u64 = 10_000;
-/// Time after which an endpoint without an owner is not waited for any more.
+/// Time after which requests no longer wait for an endpoint to get a new owner.
 const OWNER_LOST_LIMIT_MS: u64 = 6_000;
 
-/// What a daemon remembers of places.
+/// Hints about placements and owners, from earlier answers of owners.
 #[derive(Default)]
 pub(crate) struct PlacementHints {
     not_placed_until_ms: BTreeMap<(ModelName, EndpointName), u64>,
@@ -19,7 +19,7 @@
 }
 
 impl PlacementHints {
-    /// Notes that the owner says the model is not placed at its endpoint.
+    /// Records that the owner of an endpoint reported that the model is not placed there.
     pub(crate) fn record_not_placed(
         &mut self,
         model: &ModelName,
@@ -31,7 +31,8 @@
         self.not_placed_until_ms.insert((model.clone(), endpoint.clone()), until_ms);
     }
 
-    /// Whether the owner has lately said that the model is not placed.
+    /// Returns whether the owner of an endpoint recently reported that the model is not placed
+    /// there.
     pub(crate) fn was_reported_not_placed(
         &self,
         model: &ModelName,
@@ -42,7 +43,7 @@
         until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// Notes whether an owner of the endpoint has answered.
+    /// Records whether an owner of the endpoint answered.
     pub(crate) fn record_owner_answer(
         &mut self,
         endpoint: &EndpointName,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether the endpoint has lost its owner so lately that it may soon have another.
+    /// Returns whether the endpoint lost its owner so recently that it may soon have another one.
     pub(crate) fn lost_owner_recently(&self, endpoint: &EndpointName, now_ms: u64) -> bool {
         let since_ms = self.ownerless_since_ms.get(endpoint);
         since_ms.is_some_and(|since_ms| now_ms < since_ms + OWNER_LOST_LIMIT_MS)
--- a/crates/trestled/src/platform_wire.rs
+++ b/crates/trestled/src/platform_wire.rs
@@ -1,9 +1,9 @@
-//! The surroundings that a daemon with an outside store can be given.
+//! The wire formats of the store, the endpoints and the callers of the users' platform.
 
 use trestle_entry::wire::{EndpointWire, HeadWire, StoreWire, Wire};
 use trestle_platform::{READINESS_PATH, configuration, endpoint, head, notice, order, store};
 
-/// The users' platform.
+/// Returns the wire formats of the users' platform.
 pub(crate) fn wire() -> Wire {
     Wire {
         store: StoreWire {
--- a/crates/trestled/src/routing.rs
+++ b/crates/trestled/src/routing.rs
@@ -1,4 +1,4 @@
-//! What traffic needs to know of configuration and membership.
+//! The parts of configuration and membership that requests are routed by.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,21 +10,22 @@
     names::{DomainName, EndpointName, VmName},
 };
 
-/// What traffic needs to know of configuration and membership.
+/// The parts of configuration and membership that requests are routed by.
 #[derive(Clone, Default)]
 pub(crate) struct Routing {
     /// The configuration in force.
     pub(crate) config: Arc<Config>,
-    /// The file of the configuration in force.
+    /// The text of the configuration file in force.
     pub(crate) config_text: Arc<str>,
-    /// Members of each failure domain, as last read.
+    /// The members of each failure domain, as last read.
     pub(crate) domains: BTreeMap<DomainName, MembershipRow>,
-    /// Endpoints that are leaving.
+    /// The names of the VMs and endpoints that are draining.
     pub(crate) draining: BTreeSet<String>,
 }
 
 impl Routing {
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force and returns `true`, unless its version is not newer than that
+    /// in force.
     pub(crate) fn apply_config(&mut self, config: Arc<Config>, text: Arc<str>) -> bool {
         if config.catalog.version <= self.config.catalog.version {
             return false;
@@ -34,7 +35,7 @@
         true
     }
 
-    /// Takes the members of a domain, unless newer ones are known.
+    /// Stores the members of a failure domain, unless those known are of a later epoch.
     pub(crate) fn apply_members(&mut self, domain: DomainName, row: MembershipRow) {
         let known = self.domains.entry(domain).or_default();
         if row.epoch >= known.epoch {
@@ -42,7 +43,8 @@
         }
     }
 
-    /// The chain of owners of an engine and where peers reach them.
+    /// Returns the chain of owners of an engine, with the addresses at which peers reach them. It
+    /// is empty if the engine or the members of its failure domain are not known.
     pub(crate) fn owners(&self, engine: &EndpointName) -> Vec<(VmName, String)> {
         let Some(spec) = self.config.catalog.engines.get(engine) else { return Vec::new() };
         let Some(row) = self.domains.get(&spec.domain) else { return Vec::new() };
@@ -50,12 +52,12 @@
         chain.map(|vm| (vm.clone(), row.members[vm].address.clone())).collect()
     }
 
-    /// The failure domain of an engine.
+    /// Returns the failure domain of an engine; `None` if the engine is not known.
     pub(crate) fn domain_of(&self, engine: &EndpointName) -> Option<&DomainName> {
         self.config.catalog.engines.get(engine).map(|spec| &spec.domain)
     }
 
-    /// Every failure domain that the configuration names.
+    /// Returns the failure domains of all engines in the configuration.
     pub(crate) fn domain_names(&self) -> BTreeSet<DomainName> {
         self.config.catalog.engines.values().map(|engine| engine.domain.clone()).collect()
     }
--- a/crates/trestled/src/run.rs
+++ b/crates/trestled/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the daemon and runs them.
+//! Starts the tasks and servers of the daemon.
 
 use crate::{
     admin, clock, config_watch, daemon::Daemon, domains_watch, entry, error::Result, peer_server,
@@ -6,7 +6,8 @@
 };
 use std::sync::Arc;
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal. Fails if an address cannot be used or signals
+/// cannot be received.
 pub(crate) async fn run(daemon: Arc<Daemon>) -> Result<()> {
     let peers = peer_server::listen(&daemon).await?;
     smol::spawn(peer_server::run(Arc::clone(&daemon), peers)).detach();
--- a/crates/trestled/src/serve.rs
+++ b/crates/trestled/src/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP servers with limits.
+//! HTTP servers with limits on connections and sizes.
 
 use crate::error::{ListenSnafu, Result};
 use smol::net::TcpListener;
@@ -9,7 +9,7 @@
 use trillium_http::HttpConfig;
 use trillium_smol::Stopper;
 
-/// Starts to serve an address; the stopper ends it.
+/// Starts a server and returns the stopper that ends it. Fails if the address cannot be used.
 pub(crate) async fn start<F>(
     address: SocketAddr,
     limits: &Limits,
--- a/crates/trestled/src/status.rs
+++ b/crates/trestled/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of the daemon, for operators.
+//! The status of the daemon, for operators.
 
 use crate::daemon::Daemon;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 };
 use trestle_wire::admin::{EndpointStatus, Status};
 
-/// The state of the daemon.
+/// Builds the status of the daemon.
 pub(crate) fn build(
     daemon: &Daemon,
     own_domain: &DomainName,
--- a/crates/trestled/src/stop.rs
+++ b/crates/trestled/src/stop.rs
@@ -1,8 +1,8 @@
 //! Planned stops.
 //!
-//! The daemon first says that it is not ready, so that the balancer sends it
-//! nothing new; leaves its failure domain, so that others own its endpoints;
-//! serves what it has until all of it has ended; and only then closes.
+//! The daemon first reports that it is not ready, so that the balancer sends it no new requests. It
+//! then leaves its failure domain, so that other daemons own its endpoints, completes the requests
+//! in flight, and closes its listener for callers.
 
 use crate::{
     daemon::Daemon,
@@ -19,16 +19,17 @@
 use trestle_core::event::Event;
 use trillium_smol::Stopper;
 
-/// Time in which the balancer notices that the daemon is not ready.
+/// Time within which the balancer notices that the daemon is not ready.
 const BALANCER_NOTICE_MS: u64 = 1_500;
-/// Time between two looks whether everything has ended.
+/// Interval of the checks whether the daemon has left its failure domain and whether all requests
+/// have ended.
 const CHECK_INTERVAL_MS: u64 = 50;
-/// Time in which the last answers reach their callers.
+/// Time for the last answers to reach their callers.
 const FLUSH_MS: u64 = 500;
-/// Time for leaving the failure domain while the platform does not answer.
+/// Time limit for leaving the failure domain; the platform may not answer.
 const LEAVE_MS: u64 = 5_000;
 
-/// Waits for a signal to stop, and stops.
+/// Waits for a stop signal and then stops the daemon. Fails if signals cannot be received.
 pub(crate) async fn wait(daemon: &Daemon, callers: Stopper) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int]).context(SignalsSnafu)?;
     signals.next().await;
--- a/crates/trestled/src/vms_watch.rs
+++ b/crates/trestled/src/vms_watch.rs
@@ -1,11 +1,11 @@
-//! Follows the platform's list of VMs.
+//! Polls the platform's list of VMs.
 
 use crate::daemon::Daemon;
 use smol::Timer;
 use std::{sync::Arc, time::Duration};
 use trestle_core::event::{Event, VmState};
 
-/// Follows the list until the process ends.
+/// Polls the list until the process ends.
 pub(crate) async fn run(daemon: Arc<Daemon>) {
     let interval = Duration::from_millis(daemon.settings.intervals.vm_list_ms);
     loop {
