--- a/crates/trestled/src/actions.rs
+++ b/crates/trestled/src/actions.rs
@@ -37,11 +37,11 @@
         Action::Ownership { endpoint, fence: Some(fence) } => {
             let (epoch, rank) = (fence.epoch(), fence.rank());
             tracing::info!(
-                "owner: Claiming the ownership of endpoint {endpoint} at epoch {epoch} with rank {rank}."
+                "owner: Claiming endpoint {endpoint} at epoch {epoch} with rank {rank}."
             );
         }
         Action::Ownership { endpoint, fence: None } => {
-            tracing::info!("owner: Gave up the ownership of endpoint {endpoint}.");
+            tracing::info!("owner: Gave up endpoint {endpoint}.");
         }
         Action::FetchUsageProfiles(endpoint) => {
             smol::spawn(fetch_usage_profiles(daemon, endpoint)).detach()
--- a/crates/trestled/src/claims.rs
+++ b/crates/trestled/src/claims.rs
@@ -168,8 +168,7 @@
     async fn send(&mut self) -> ClaimEvent {
         self.send_state.mark_held();
         for endpoint in server_selection::ranked(&self.daemon, &self.claimed.service) {
-            let slot =
-                server_selection::acquire_slot(&self.daemon, &self.claimed.service, &endpoint);
+            let slot = server_selection::acquire(&self.daemon, &self.claimed.service, &endpoint);
             let Some(slot) = slot else { continue };
             if !self.try_begin_sending() {
                 return ClaimEvent::NotSent;
--- a/crates/trestled/src/control.rs
+++ b/crates/trestled/src/control.rs
@@ -38,9 +38,9 @@
 /// The data of the control thread.
 struct Control {
     daemon: Arc<Daemon>,
-    own_domain: DomainName,
-    /// Control states by failure domain: that of the daemon's own domain, and those of the domains
-    /// that it has adopted.
+    /// The failure domain of this daemon.
+    domain: DomainName,
+    /// The control states of this daemon's own failure domain and of those that it has adopted.
     states: BTreeMap<DomainName, ControlState>,
     /// Leases of the domains that this daemon follows in order to adopt them when all their daemons
     /// are gone.
@@ -56,7 +56,7 @@
     let own = DomainName::from(daemon.settings.domain.as_str());
     let mut control = Control {
         daemon,
-        own_domain: own.clone(),
+        domain: own.clone(),
         states: BTreeMap::new(),
         adoptions: BTreeMap::new(),
         next_adoption_read_ms: 0,
@@ -120,7 +120,7 @@
                 let _ = reply.try_send(state.is_some_and(|state| state.owns(&endpoint)));
             }
             Message::StatusQuery(reply) => {
-                let _ = reply.try_send(status::build(&self.daemon, &self.own_domain, &self.states));
+                let _ = reply.try_send(status::build(&self.daemon, &self.domain, &self.states));
             }
         }
     }
@@ -144,7 +144,7 @@
     fn handle_event(&mut self, domain: &DomainName, event: Event) {
         let now_ms = self.daemon.now_ms();
         let Some(state) = self.states.get_mut(domain) else {
-            // The domain is no longer served here, so the requester is sent to another daemon.
+            // This daemon no longer serves the domain, so the requester has to try another one.
             if let Event::PermitRequested(request) = event {
                 let answer = PermitAnswer::NotOwner { owner_rank: None };
                 self.execute(domain, Action::Answer(request.ticket, answer));
@@ -160,7 +160,7 @@
         let Action::Answer(ticket, answer) = action else {
             let has_left = action == Action::Left;
             actions::execute(&self.daemon, domain, action);
-            if has_left && *domain != self.own_domain {
+            if has_left && *domain != self.domain {
                 self.states.remove(domain);
             }
             return;
@@ -187,14 +187,14 @@
     }
 
     fn domain_of(&self, endpoint: &EndpointName) -> DomainName {
-        self.daemon.routing().domain_of(endpoint).unwrap_or(&self.own_domain).clone()
+        self.daemon.routing().domain_of(endpoint).unwrap_or(&self.domain).clone()
     }
 
     fn add_state(&mut self, domain: DomainName) {
         let member = Member {
             address: self.daemon.peers_address().to_string(),
             incarnation: self.daemon.incarnation,
-            is_adopter: domain != self.own_domain,
+            is_adopter: domain != self.domain,
         };
         let timing = timing(&self.daemon);
         let state = ControlState::new(self.daemon.own_vm.clone(), member, domain.clone(), timing);
@@ -209,15 +209,12 @@
         }
         let timing = timing(&self.daemon);
         self.next_adoption_read_ms = now_ms + timing.lease_ms;
-        let Some(membership) = self.states.get(&self.own_domain).map(ControlState::membership)
-        else {
-            return;
-        };
-        let row = membership.row();
+        let Some(own) = self.states.get(&self.domain).map(ControlState::membership) else { return };
+        let row = own.row();
         let domains = self.daemon.routing().domain_names();
         let others = domains.into_iter().filter(|domain| !self.states.contains_key(domain));
         let followed: BTreeSet<DomainName> =
-            others.filter(|domain| adoption::follows(row, membership.own_vm(), domain)).collect();
+            others.filter(|domain| adoption::follows(row, own.own_vm(), domain)).collect();
         self.adoptions.retain(|domain, _| followed.contains(domain));
         for domain in followed {
             let adoption = self
@@ -231,11 +228,11 @@
 
     fn on_adoption_read(&mut self, domain: &DomainName, rows: Option<&Rows>) {
         let now_ms = self.daemon.now_ms();
-        let own = self.states.get(&self.own_domain).map(ControlState::membership);
+        let own = self.states.get(&self.domain).map(ControlState::membership);
         let is_fresh = own.is_some_and(|membership| membership.lease_is_fresh(now_ms));
         let Some(adoption) = self.adoptions.get_mut(domain) else { return };
         adoption.on_read(rows, is_fresh, now_ms);
-        if !adoption.is_due(&self.own_domain, &self.daemon.routing().domain_names()) {
+        if !adoption.is_due(&self.domain, &self.daemon.routing().domain_names()) {
             return;
         }
         tracing::warn!(
--- a/crates/trestled/src/entry/body.rs
+++ b/crates/trestled/src/entry/body.rs
@@ -1,4 +1,5 @@
-//! Reading of request bodies, with limits on their size, their time, and the memory of all of them.
+//! Reads request bodies, with limits on the size of each, on the time to receive it, and on the
+//! size of all of them.
 
 use super::Failure;
 use crate::daemon::Daemon;
--- a/crates/trestled/src/entry/endpoint_search.rs
+++ b/crates/trestled/src/entry/endpoint_search.rs
@@ -62,8 +62,8 @@
             Ok(permit) => return Ok(permit),
             Err(state) => state,
         };
-        let may_succeed = state.may_change(started.elapsed());
-        if !may_succeed || call.time_left() <= SEARCH_INTERVAL {
+        let may_succeed_later = state.may_succeed_later(started.elapsed());
+        if !may_succeed_later || call.time_left() <= SEARCH_INTERVAL {
             return Err(state.into_failure(model));
         }
         daemon.request_domains_refresh();
@@ -183,7 +183,7 @@
     }
 
     /// Returns whether another round of the search may succeed.
-    fn may_change(&self, searched: Duration) -> bool {
+    fn may_succeed_later(&self, searched: Duration) -> bool {
         let is_refused = self.refusal.is_some() || self.least_busy.is_some();
         if is_refused {
             return false;
--- a/crates/trestled/src/entry/engine_call.rs
+++ b/crates/trestled/src/entry/engine_call.rs
@@ -122,11 +122,7 @@
     let body = conn.response_body().with_max_len(MAX_ANSWER_BYTES).read_bytes().await;
     let body = match body {
         Ok(body) => body,
-        Err(error) => {
-            return SendOutcome::Failed(format!(
-                "the connection broke before the end of the answer: {error}"
-            ));
-        }
+        Err(error) => return SendOutcome::Failed(format!("the answer is incomplete: {error}")),
     };
     let Ok(content) = serde_json::from_slice::<Value>(&body) else {
         return SendOutcome::Failed("the answer is incomplete or not JSON".to_owned());
@@ -152,7 +148,7 @@
     let forwarding = async move {
         let timed_out = async {
             Timer::at(deadline).await;
-            StreamEnd::Aborted("the deadline came before the end of the answer".to_owned())
+            StreamEnd::Aborted("the deadline passed before the end of the answer".to_owned())
         };
         let end = forward_events(conn, &request_id, &parts).or(timed_out).await;
         if let StreamEnd::Aborted(message) = end {
@@ -190,16 +186,8 @@
     loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => {
-                return StreamEnd::Aborted(
-                    "the connection was closed before the end of the answer".to_owned(),
-                );
-            }
-            Err(error) => {
-                return StreamEnd::Aborted(format!(
-                    "the connection broke before the end of the answer: {error}"
-                ));
-            }
+            Ok(None) => return StreamEnd::Aborted("the answer is incomplete".to_owned()),
+            Err(error) => return StreamEnd::Aborted(format!("the answer is incomplete: {error}")),
         };
         let is_last = match event.classify(request_id) {
             EventKind::Part => false,
--- a/crates/trestled/src/entry/server_selection.rs
+++ b/crates/trestled/src/entry/server_selection.rs
@@ -40,7 +40,7 @@
 
 /// Reserves a call at a server; `None` if the service does not list the server, or if the daemon
 /// has reached its limit of concurrent calls there.
-pub(crate) fn acquire_slot(
+pub(crate) fn acquire(
     daemon: &Arc<Daemon>,
     service: &Service,
     name: &EndpointName,
--- a/crates/trestled/src/entry/service.rs
+++ b/crates/trestled/src/entry/service.rs
@@ -106,9 +106,7 @@
     for (index, endpoint) in
         server_selection::ranked(daemon, service).into_iter().take(MAX_ATTEMPTS).enumerate()
     {
-        let Some(slot) = server_selection::acquire_slot(daemon, service, &endpoint) else {
-            continue;
-        };
+        let Some(slot) = server_selection::acquire(daemon, service, &endpoint) else { continue };
         if index > 0 && !daemon.traffic().retries.try_withdraw() {
             break;
         }
@@ -158,18 +156,14 @@
             Err(Failure::not_run(503, "not_sent", message).with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::Unknown => {
-            let message = "                           which never runs it a second time
-the call may have run; send it again with the same key to learn its outcome; \
-                           it is never run a second time
-                           which never runs it a second time";
+            let message = "the call may have run; send it again with the same key to learn its \
+                           outcome, which never runs it a second time";
             Err(Failure::unknown(504, "outcome_unknown", message)
                 .with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::OtherCall => {
-            let message = "                           give each call a key of its own
-the key was used for a call with another method, path or body; \
-                           use a different key for each call
-                           give each call a key of its own";
+            let message = "the key was used for a call with another method, path or body; \
+                           use a different key for each call";
             Err(Failure::not_run(409, "idempotency_key_reused", message))
         }
     }
--- a/crates/trestled/src/entry/service_call.rs
+++ b/crates/trestled/src/entry/service_call.rs
@@ -98,16 +98,10 @@
     let expected = body.content_length();
     let body = match body.read_bytes().await {
         Ok(body) => body,
-        Err(error) => {
-            return CallOutcome::AnswerLost(format!(
-                "the connection broke before the end of the answer: {error}"
-            ));
-        }
+        Err(error) => return CallOutcome::AnswerLost(format!("the answer is incomplete: {error}")),
     };
     if expected.is_some_and(|length| length != body.len() as u64) {
-        return CallOutcome::AnswerLost(
-            "the connection was closed before the end of the answer".to_owned(),
-        );
+        return CallOutcome::AnswerLost("the answer is incomplete".to_owned());
     }
     if answered_id != request_id {
         return CallOutcome::AnswerLost("the answer belongs to another request".to_owned());
--- a/crates/trestled/src/permit_client.rs
+++ b/crates/trestled/src/permit_client.rs
@@ -2,9 +2,9 @@
 //!
 //! The chain of owners of an endpoint follows from the membership of its failure domain. The
 //! request goes to the first owner of the chain. If that one does not answer or reports that it is
-//! not the owner, the next one is tried, and is told how many owners before it failed. While a
-//! request waits, the daemon checks at intervals whether the owner still answers, so a frozen owner
-//! is detected long before the deadline.
+//! not the owner, the request goes to the next one, along with the number of owners before it that
+//! failed. While a request waits, the daemon checks at intervals whether the owner still answers,
+//! so a frozen owner is detected long before the deadline.
 
 use crate::{daemon::Daemon, message::Message};
 use futures_lite::FutureExt;
@@ -58,8 +58,8 @@
 pub(crate) enum PermitOutcome {
     /// The request may be sent.
     Granted(Permit),
-    /// An owner answered, and granted no permit. The answer is also a refusal if the deadline
-    /// passed before any owner could be reached.
+    /// An owner answered, and granted no permit. If the deadline passed before any owner could be
+    /// reached, the answer is a refusal that this daemon makes itself.
     Declined(WireAnswer),
     /// No owner could be reached.
     NoOwner,
@@ -103,7 +103,8 @@
         }
     }
     if params.deadline <= Instant::now() {
-        // The deadline passed before any owner was reached, which says nothing about the owners.
+        // The deadline passed before any owner was reached, which does not show that the owners
+        // failed.
         let reason = WireRefusal::DeadlineTooClose;
         return PermitOutcome::Declined(WireAnswer::Refused {
             reason,
