--- a/crates/trestle-client/src/platform.rs
+++ b/crates/trestle-client/src/platform.rs
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not confirm the write; the object may have been written all the same.
+    /// Fails if the platform does not confirm the write; even then the object may have been written.
     pub async fn put_object(&self, name: &str, content: &[u8]) -> Result<()> {
         let url = format!("{}/objects/{name}", self.url);
         let conn = self.client.put(url.as_str()).with_body(content.to_vec());
--- a/crates/trestled/src/entry.rs
+++ b/crates/trestled/src/entry.rs
@@ -1,20 +1,20 @@
-//! Serves callers.
+//! The HTTP interface for callers.
 //!
 //! - `POST /v1/chat/completions` and `POST /v1/completions`: models and adapters.
-//! - `GET /v1/models`: what may be named as `model`.
+//! - `GET /v1/models`: the names that are valid as `model`.
 //! - `/services/NAME/...`: plain services.
 //!
-//! Every request ends with one outcome: its own whole answer, or a failure that
-//! says whether the request was run, and when to come back.
+//! Every request ends with exactly one outcome: its own complete answer, or a failure that states
+//! whether the request was run and, where a retry makes sense, after which delay to retry.
 
 mod body;
 mod call;
-pub(crate) mod choice;
+mod endpoint_search;
 mod engine_call;
 mod failure;
 mod model;
 mod models_list;
-mod permits;
+pub(crate) mod server_selection;
 mod service;
 pub(crate) mod service_call;
 mod sse;
@@ -29,24 +29,24 @@
 use trestle_wire::headers;
 use trillium::{Conn, Method};
 
-/// Answers a request of a caller.
+/// Answers a caller's request.
 pub(crate) async fn handle(daemon: Arc<Daemon>, conn: Conn) -> Conn {
     let in_flight = InFlight::new(&daemon);
     let started = Instant::now();
     let (call, conn) = match Call::new(&daemon, &conn, started) {
         Ok(call) => {
-            let conn = route(&daemon, &call, conn).await;
+            let conn = dispatch(&daemon, &call, conn).await;
             (Some(call), conn)
         }
         Err(failure) => {
-            daemon.metrics.refused("", failure.code);
+            daemon.metrics.record_refusal("", failure.code);
             (None, failure.into_answer(conn, ""))
         }
     };
     if let Some(call) = call {
-        let outcome = outcome_of(&conn);
+        let outcome = outcome_label(&conn);
         let time_ms = started.elapsed().as_secs_f64() * 1e3;
-        daemon.metrics.request(call.tenant.as_str(), &call.class, outcome, time_ms);
+        daemon.metrics.record_request(call.tenant.as_str(), &call.class, outcome, time_ms);
     }
     drop(in_flight);
     if daemon.is_stopping.load(Ordering::Relaxed) {
@@ -55,7 +55,7 @@
     conn
 }
 
-async fn route(daemon: &Arc<Daemon>, call: &Call, conn: Conn) -> Conn {
+async fn dispatch(daemon: &Arc<Daemon>, call: &Call, conn: Conn) -> Conn {
     let path = conn.path().to_owned();
     match (conn.method(), path.as_str()) {
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
@@ -65,14 +65,15 @@
         (_, path) => match path.strip_prefix("/services/") {
             Some(rest) => service::answer(daemon, call, conn, rest).await,
             None => {
-                let message = format!("there is nothing at {path}; see /v1/models");
+                let message =
+                    format!("no resource exists at {path}; `GET /v1/models` lists the models");
                 Failure::not_run(404, "unknown_path", message).into_answer(conn, &call.request_id)
             }
         },
     }
 }
 
-fn outcome_of(conn: &Conn) -> &'static str {
+fn outcome_label(conn: &Conn) -> &'static str {
     match conn.response_headers().get_str(headers::OUTCOME) {
         Some("not_run") => "not_run",
         Some("unknown") => "unknown",
@@ -80,7 +81,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// A request that counts as in flight until the value is dropped.
 pub(crate) struct InFlight(Arc<Daemon>);
 
 impl InFlight {
--- a/crates/trestled/src/entry/call.rs
+++ b/crates/trestled/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before its body is read.
+//! The parts of a request that are read before its body.
 
 use super::Failure;
 use crate::daemon::Daemon;
@@ -11,12 +11,13 @@
 use trestle_wire::headers;
 use trillium::Conn;
 
-/// Longest request id that is taken from a caller.
+/// Maximum length of a request id set by a caller.
 const MAX_REQUEST_ID_CHARS: usize = 128;
-/// When to come back after the tenant's limit was reached.
+/// Retry delay for a request that exceeds its tenant's limit of concurrent requests.
 const TENANT_BUSY_RETRY_MS: u64 = 500;
 
-/// What is known of a request before its body is read.
+/// The parts of a request that are read before its body, with the configuration that was in force
+/// when it arrived.
 pub(crate) struct Call {
     pub(crate) request_id: String,
     pub(crate) tenant: TeamName,
@@ -24,11 +25,14 @@
     pub(crate) urgency: u8,
     pub(crate) deadline: Instant,
     pub(crate) config: Arc<Config>,
-    _share: TenantShare,
+    _slot: TenantSlot,
 }
 
 impl Call {
-    /// Reads token and headers.
+    /// Reads the token and the headers, and counts the request against its tenant's limit.
+    ///
+    /// Fails if no configuration is in force yet, if the token or a header is invalid, or if the
+    /// tenant's limit is reached.
     pub(crate) fn new(
         daemon: &Arc<Daemon>,
         conn: &Conn,
@@ -37,13 +41,13 @@
         let config = Arc::clone(&daemon.routing().config);
         if config.catalog.version == 0 {
             let message = "no configuration is in force yet; another daemon may have one";
-            return Err(Failure::not_run(503, "not_ready", message).after_ms(1_000));
+            return Err(Failure::not_run(503, "not_ready", message).with_retry_after_ms(1_000));
         }
         let tenant_name = tenant_of(&config, conn)?;
         let tenant = &config.tenants[&tenant_name];
         let (class_name, class) = class_of(&config, tenant, conn)?;
         let deadline_ms = deadline_ms_of(daemon, class, conn)?;
-        let share = TenantShare::take(daemon, &tenant_name, tenant.max_concurrent)?;
+        let slot = TenantSlot::acquire(daemon, &tenant_name, tenant.max_concurrent)?;
         Ok(Self {
             request_id: request_id_of(conn)?,
             tenant: tenant_name,
@@ -51,11 +55,11 @@
             urgency: class.urgency,
             deadline: started + Duration::from_millis(deadline_ms),
             config,
-            _share: share,
+            _slot: slot,
         })
     }
 
-    /// Time until the whole answer is due.
+    /// Returns the time left until the deadline for the complete answer; zero once it has passed.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -116,30 +120,32 @@
     Err(Failure::not_run(400, "bad_request_id", message))
 }
 
-/// One of the requests a tenant may have at this daemon.
-struct TenantShare {
+/// A request that counts against its tenant's limit of concurrent requests at this daemon until the
+/// value is dropped.
+struct TenantSlot {
     daemon: Arc<Daemon>,
     tenant: TeamName,
 }
 
-impl TenantShare {
-    fn take(daemon: &Arc<Daemon>, tenant: &TeamName, limit: usize) -> Result<Self, Failure> {
+impl TenantSlot {
+    fn acquire(daemon: &Arc<Daemon>, tenant: &TeamName, limit: usize) -> Result<Self, Failure> {
         let mut traffic = daemon.traffic();
-        let count = traffic.by_tenant.entry(tenant.clone()).or_default();
+        let count = traffic.requests_by_tenant.entry(tenant.clone()).or_default();
         if *count >= limit {
-            let message = format!("the tenant has {limit} requests here already");
-            return Err(
-                Failure::not_run(429, "tenant_busy", message).after_ms(TENANT_BUSY_RETRY_MS)
+            let message = format!(
+                "the tenant has reached its limit of {limit} concurrent requests at this daemon"
             );
+            return Err(Failure::not_run(429, "tenant_busy", message)
+                .with_retry_after_ms(TENANT_BUSY_RETRY_MS));
         }
         *count += 1;
         Ok(Self { daemon: Arc::clone(daemon), tenant: tenant.clone() })
     }
 }
 
-impl Drop for TenantShare {
+impl Drop for TenantSlot {
     fn drop(&mut self) {
-        if let Some(count) = self.daemon.traffic().by_tenant.get_mut(&self.tenant) {
+        if let Some(count) = self.daemon.traffic().requests_by_tenant.get_mut(&self.tenant) {
             *count = count.saturating_sub(1);
         }
     }
