--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -162,7 +162,7 @@
     /// Spends one retry of a service's budget. Returns whether the budget allowed it.
     pub fn spend_retry(&mut self, service: &ServiceName, now_ms: u64) -> bool {
         let share = self.retries.entry(service.clone()).or_default();
-        share.take(now_ms, &self.retry_bounds, self.daemons)
+        share.spend(now_ms, &self.retry_bounds, self.daemons)
     }
 
     /// Returns whether a service's budget allows a retry.
@@ -173,7 +173,7 @@
 
     /// Records that a caller's request for a service arrived.
     pub fn request_arrived(&mut self, service: &ServiceName, now_ms: u64) {
-        self.retries.entry(service.clone()).or_default().requested(now_ms);
+        self.retries.entry(service.clone()).or_default().record_request(now_ms);
     }
 
     /// Records that a caller's request for a model arrived.
@@ -269,7 +269,7 @@
         now_ms: u64,
     ) -> Option<u64> {
         let ready_in_ms = self.replicas.get(service)?.ready_in_ms.get(loadable)?;
-        Some(loadable::aged_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
+        Some(loadable::remaining_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
     }
 
     /// Drops what leaders reported, some time after the last report. Relayed list entries do not
--- a/crates/trestle-entry/src/control/mod.rs
+++ b/crates/trestle-entry/src/control/mod.rs
@@ -177,7 +177,7 @@
     fn record_change(&mut self, service: &ServiceName, engine: &Incarnation, chain: &OrderChain) {
         let now_ms = self.now_ms();
         if let Some(state) = self.services.get_mut(service) {
-            state.change_ended(engine, chain, now_ms);
+            state.finish_change(engine, chain, now_ms);
         }
         self.is_plan_due = true;
     }
--- a/crates/trestle-lab/src/control/sync.rs
+++ b/crates/trestle-lab/src/control/sync.rs
@@ -15,7 +15,7 @@
     placement_log::{PlacementDelta, PlacementPosition},
     sync_intervals::SyncIntervals,
 };
-use trestle_wire::placements::WireDelta;
+use trestle_wire::placements::WirePlacementDelta;
 
 /// Age up to which a leader answers from its log without updating it, as in the daemon.
 const LOG_REUSE_MS: u64 = 30;
@@ -222,6 +222,6 @@
 
 /// Returns the size of a placement delta on the wire.
 fn encoded_bytes(delta: &PlacementDelta) -> f64 {
-    let wire = WireDelta::from(delta.clone());
+    let wire = WirePlacementDelta::from(delta.clone());
     bincode::DefaultOptions::new().serialized_size(&wire).unwrap_or_default() as f64
 }
--- a/crates/trestle-lab/src/sim/leader.rs
+++ b/crates/trestle-lab/src/sim/leader.rs
@@ -44,7 +44,7 @@
     term: u64,
     view: ReplicaView,
     /// Number of the daemon's last report that the leader has planned with.
-    planned: u64,
+    last_planned: u64,
     list_version: usize,
     entries: Vec<Entry>,
 }
@@ -178,7 +178,7 @@
         let answer = SyncAnswer {
             term: self.leader.term,
             view: self.leader.state.view(&self.service, directory, now_ms),
-            planned: self.leader.state.demand.planned(&vm),
+            last_planned: self.leader.state.demand.last_planned(&vm),
             list_version: leader_version,
             entries: entries.map(|(_, entry)| entry.clone()).collect(),
         };
@@ -206,7 +206,7 @@
         let is_changed = daemon_state.local_view.update_replicas(
             self.service.clone(),
             answer.view,
-            answer.planned,
+            answer.last_planned,
             now_ms,
         );
         let is_waiting = !daemon_state.waiting.is_empty();
@@ -257,7 +257,7 @@
         for (endpoint, _, chain) in started_changes {
             let engine = self.engines.iter().position(|engine| engine.name == endpoint.name);
             let Some(engine) = engine else {
-                self.leader.state.change_ended(&endpoint.incarnation(), &chain, now_ms);
+                self.leader.state.finish_change(&endpoint.incarnation(), &chain, now_ms);
                 continue;
             };
             let change =
@@ -283,7 +283,7 @@
         match next {
             NextStep::Done | NextStep::Failed(_) => {
                 if let Some(finished) = self.leader.changes.remove(&engine) {
-                    self.leader.state.change_ended(&finished.incarnation, &finished.chain, now_ms);
+                    self.leader.state.finish_change(&finished.incarnation, &finished.chain, now_ms);
                 }
                 if self.now_us >= self.leader.planned_us + PLAN_GAP_US {
                     self.plan();
@@ -335,7 +335,7 @@
         }
         let now_ms = self.now_ms();
         if let Some(change) = self.leader.changes.get_mut(&engine) {
-            change.chain.reported(report, now_ms);
+            change.chain.apply_report(report, now_ms);
             self.queue.push(self.now_us, Event::ChangeStep { term, engine });
         }
     }
@@ -403,7 +403,7 @@
         let Some(change) = self.leader.changes.get_mut(&engine) else { return };
         change.answered += 1;
         if change.answered <= change.sent {
-            change.chain.answered(answer, now_ms);
+            change.chain.apply_answer(answer, now_ms);
             self.queue.push(self.now_us, Event::ChangeStep { term, engine });
         }
     }
