--- a/crates/trestle-lab/src/control/plan.rs
+++ b/crates/trestle-lab/src/control/plan.rs
@@ -157,8 +157,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read, or is invalid; the error names the position of each
-    /// problem.
+    /// Fails if the file cannot be read, or is invalid; the error names the position of what is
+    /// invalid.
     pub fn read(path: &Path) -> Result<Self> {
         let (text, name) = file::read(path)?;
         Self::parse(&text, &name)
@@ -168,7 +168,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is invalid; the error names the position of each problem.
+    /// Fails if the text is invalid; the error names the position of what is
+    /// invalid.
     pub fn parse(text: &str, name: &str) -> Result<Self> {
         let plan: Self = file::parse(text, name)?;
         plan.check(name)?;
@@ -177,7 +178,7 @@
 
     fn check(&self, name: &str) -> Result<()> {
         let require =
-            |holds, field: &str, message: &str| file::require(name, holds, field, message);
+            |condition, field: &str, message: &str| file::require(name, condition, field, message);
         require(self.duration_s > 0.0, "duration_s", "must be above 0")?;
         require(self.domains > 0, "domains", "must be at least 1")?;
         require(self.engines > 0, "engines", "must be at least 1")?;
--- a/crates/trestle-lab/src/deployment.rs
+++ b/crates/trestle-lab/src/deployment.rs
@@ -25,7 +25,7 @@
     pub weight_store: WeightStore,
     /// The models.
     pub models: Models,
-    /// Kinds of requests.
+    /// Classes of requests.
     pub classes: Vec<Class>,
     /// The faults to inject.
     #[serde(default)]
@@ -108,7 +108,7 @@
     pub objective_ms: u64,
     /// Time from a caller's first attempt to its deadline.
     pub deadline_ms: u64,
-    /// Longest pause between two events of an answer that is on time.
+    /// Longest pause between two events with which an answer is still on time.
     pub pause_ms: u64,
     /// Urgency; 0 is the most urgent.
     pub priority: u8,
@@ -235,8 +235,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read, or is invalid; the error names the position of each
-    /// problem.
+    /// Fails if the file cannot be read, or is invalid; the error names the position of what is
+    /// invalid.
     pub fn read(path: &Path) -> Result<Self> {
         let (text, name) = file::read(path)?;
         Self::parse(&text, &name)
@@ -247,7 +247,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is invalid; the error names the position of each problem.
+    /// Fails if the text is invalid; the error names the position of what is
+    /// invalid.
     pub fn parse(text: &str, name: &str) -> Result<Self> {
         let deployment: Self = file::parse(text, name)?;
         deployment.check(name)?;
@@ -256,15 +257,15 @@
 
     fn check(&self, name: &str) -> Result<()> {
         let require =
-            |holds, field: &str, message: &str| file::require(name, holds, field, message);
+            |condition, field: &str, message: &str| file::require(name, condition, field, message);
         require(self.duration_s > 0.0, "duration_s", "must be above 0")?;
         require(self.domains > 0, "domains", "must be at least 1")?;
         require(self.daemons > 0, "daemons", "must be at least 1")?;
         require(self.engines.count > 0, "engines.count", "must be at least 1")?;
         require(self.engines.slots > 0, "engines.slots", "must be at least 1")?;
         require(self.engines.step_us > 0.0, "engines.step_us", "must be above 0")?;
-        let reads = self.engines.prompt_tokens_per_ms > 0.0;
-        require(reads, "engines.prompt_tokens_per_ms", "must be above 0")?;
+        let reads_prompts = self.engines.prompt_tokens_per_ms > 0.0;
+        require(reads_prompts, "engines.prompt_tokens_per_ms", "must be above 0")?;
         require(self.engines.piece_tokens > 0, "engines.piece_tokens", "must be at least 1")?;
         require(self.engines.event_tokens > 0, "engines.event_tokens", "must be at least 1")?;
         require(self.models.count > 0, "models.count", "must be at least 1")?;
@@ -274,8 +275,8 @@
         require(fits, "models.most_mb", "must not exceed `engines.memory_mb`")?;
         let busy: f64 = self.models.busy_shares.iter().sum();
         require(busy <= 1.0, "models.busy_shares", "must add up to 1 at most")?;
-        let has_busy = self.models.busy_shares.len() < self.models.count;
-        require(has_busy, "models.busy_shares", "must be fewer than the models")?;
+        let has_rare = self.models.busy_shares.len() < self.models.count;
+        require(has_rare, "models.busy_shares", "must be fewer than the models")?;
         require(!self.classes.is_empty(), "classes", "must not be empty")?;
         for class in &self.classes {
             let field = format!("classes: {}", class.name);
--- a/crates/trestle-lab/src/experiment.rs
+++ b/crates/trestle-lab/src/experiment.rs
@@ -127,7 +127,8 @@
 ///
 /// # Errors
 ///
-/// Fails if a file cannot be read, or is invalid; the error names the position of each problem.
+/// Fails if a file cannot be read, or is invalid; the error names the position of what is
+/// invalid.
 pub fn read(path: &Path) -> Result<(u64, Vec<Variant>)> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let name = path.display().to_string();
@@ -135,8 +136,8 @@
     let folder = path.parent().unwrap_or(Path::new("."));
     let deployment = Deployment::read(&folder.join(&file.deployment))?;
     let variants = file.variants.iter().map(|entry| {
-        let index = format!("{name}: variants: {}", entry.name);
-        let policy = policy(&entry.without, &index)?;
+        let location = format!("{name}: variants: {}", entry.name);
+        let policy = policy(&entry.without, &location)?;
         Ok(Variant { name: entry.name.clone(), policy, deployment: deployment.clone() })
     });
     Ok((file.seeds, variants.collect::<Result<_>>()?))
@@ -200,9 +201,9 @@
         }
     });
     let mut outcomes = outcomes.into_inner().unwrap_or_else(PoisonError::into_inner).into_iter();
-    let differences = variants.iter().map(|variant| VariantOutcomes {
+    let results = variants.iter().map(|variant| VariantOutcomes {
         name: variant.name.clone(),
         outcomes: outcomes.by_ref().take(seeds as usize).flatten().collect(),
     });
-    differences.collect()
+    results.collect()
 }
--- a/crates/trestle-lab/src/lib.rs
+++ b/crates/trestle-lab/src/lib.rs
@@ -8,8 +8,8 @@
 //! itself. [`experiment`] runs several seeds under several policies and compares the outcomes in
 //! pairs. [`control`] simulates only the control plane, of hundreds of daemons.
 //!
-//! To try another policy, add a [`trestle_dispatch::policy::Mechanism`], check it where it
-//! decides, and run `trestle-lab ablate` (docs/LAB.md).
+//! To try another policy, add a [`trestle_dispatch::policy::Mechanism`], query it at the decision
+//! that it affects, and run `trestle-lab ablate` (docs/LAB.md).
 
 pub mod control;
 pub mod deployment;
--- a/crates/trestle-lab/src/main.rs
+++ b/crates/trestle-lab/src/main.rs
@@ -162,29 +162,25 @@
 
 /// Returns a variant for each factor by which one quantity of the deployment is scaled.
 fn sweep(deployment: &Deployment, what: &str, factors: &[String]) -> Result<Vec<Variant>, Failure> {
-    let each =
-        factors.iter().map(|text| {
-            let factor: f64 = text.parse().map_err(|_| format!("`{text}` is not a number"))?;
-            if !(factor.is_finite() && factor > 0.0) {
-                return Err(format!("`{text}` must be above 0").into());
-            }
-            let mut scaled = deployment.clone();
-            let scale = |count: usize| ((count as f64 * factor).round() as usize).max(1);
-            match what {
-                "load" => scaled.classes.iter_mut().for_each(|class| class.per_s *= factor),
-                "engines" => scaled.engines.count = scale(scaled.engines.count),
-                "places" => {
-                    let memory_mb = scaled.engines.memory_mb as f64 * factor;
-                    scaled.engines.memory_mb = (memory_mb as u64).max(scaled.models.most_mb);
-                }
-                "daemons" => scaled.daemons = scale(scaled.daemons),
-                _ => return Err(format!(
-                    "`{what}` cannot be swept; expected `load`, `engines`, `places` or `daemons`"
-                )
-                .into()),
+    let variants = factors.iter().map(|text| {
+        let factor: f64 = text.parse().map_err(|_| format!("`{text}` is not a number"))?;
+        if !(factor.is_finite() && factor > 0.0) {
+            return Err(format!("`{text}` must be above 0").into());
+        }
+        let mut scaled = deployment.clone();
+        let scale = |count: usize| ((count as f64 * factor).round() as usize).max(1);
+        match what {
+            "load" => scaled.classes.iter_mut().for_each(|class| class.per_s *= factor),
+            "engines" => scaled.engines.count = scale(scaled.engines.count),
+            "places" => {
+                let memory_mb = scaled.engines.memory_mb as f64 * factor;
+                scaled.engines.memory_mb = (memory_mb as u64).max(scaled.models.most_mb);
             }
-            let (name, policy) = (format!("{what} x {text}"), Default::default());
-            Ok(Variant { name, policy, deployment: scaled })
-        });
-    each.collect()
+            "daemons" => scaled.daemons = scale(scaled.daemons),
+            _ => return Err(format!("`{what}` cannot be swept; see --help").into()),
+        }
+        let (name, policy) = (format!("{what} x {text}"), Default::default());
+        Ok(Variant { name, policy, deployment: scaled })
+    });
+    variants.collect()
 }
--- a/crates/trestle-lab/src/outcome.rs
+++ b/crates/trestle-lab/src/outcome.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Records the end of a request. `wasted_share` is the share of its deadline for which it
-    /// waited, if its caller left before it was sent, and 0 otherwise.
+    /// Records the end of a request. If its caller left before it was sent, `wasted_share` is the
+    /// time that its last attempt waited, as a share of its deadline; otherwise it is 0.
     pub(crate) fn record_end(
         &mut self,
         class: &str,
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -322,11 +322,11 @@
             match event {
                 StepEvent::First(request) => {
                     let send = self.requests[request].send;
-                    self.queue.push(self.now_us + delay_us, Event::FirstEvent { request, send });
+                    self.queue.push(self.now_us + delay_us, Event::AnswerBegins { request, send });
                 }
                 StepEvent::Done(request, gap_us) => {
                     let send = self.requests[request].send;
-                    let event = Event::AnswerComplete { request, send, gap_us };
+                    let event = Event::AnswerEnds { request, send, gap_us };
                     self.queue.push(self.now_us + delay_us + 1, event);
                 }
             }
@@ -435,7 +435,7 @@
         }
     }
 
-    pub(super) fn first_event_arrived(&mut self, request: usize, send: u32) {
+    pub(super) fn answer_began(&mut self, request: usize, send: u32) {
         if !self.is_current_send(request, send) {
             return;
         }
@@ -445,7 +445,7 @@
             .get_or_insert((self.now_us - request_state.first_attempt_us) / 1_000);
     }
 
-    pub(super) fn answer_completed(&mut self, request: usize, send: u32, gap_us: u64) {
+    pub(super) fn answer_ended(&mut self, request: usize, send: u32, gap_us: u64) {
         if !self.is_current_send(request, send) {
             return;
         }
--- a/crates/trestle-lab/src/sim/simulation.rs
+++ b/crates/trestle-lab/src/sim/simulation.rs
@@ -61,9 +61,9 @@
     /// The time limit for the first event of an answer has passed.
     FirstEventTimeout { request: usize, send: u32 },
     /// The first event of an answer reaches the caller.
-    FirstEvent { request: usize, send: u32 },
+    AnswerBegins { request: usize, send: u32 },
     /// The end of an answer reaches the caller; `gap_us` is the longest gap between two events.
-    AnswerComplete { request: usize, send: u32, gap_us: u64 },
+    AnswerEnds { request: usize, send: u32, gap_us: u64 },
     /// A daemon learns that an engine has failed a request or stopped.
     SendFailed { request: usize, send: u32 },
     /// A step of an engine ends.
@@ -326,10 +326,8 @@
                 self.send_rejected(request, send, is_missing);
             }
             Event::FirstEventTimeout { request, send } => self.first_event_timed_out(request, send),
-            Event::FirstEvent { request, send } => self.first_event_arrived(request, send),
-            Event::AnswerComplete { request, send, gap_us } => {
-                self.answer_completed(request, send, gap_us)
-            }
+            Event::AnswerBegins { request, send } => self.answer_began(request, send),
+            Event::AnswerEnds { request, send, gap_us } => self.answer_ended(request, send, gap_us),
             Event::SendFailed { request, send } => self.send_failed(request, send),
             Event::StepEnd { engine, start } => self.step_end(engine, start),
             Event::OrderCheck { engine, start } => self.check_order(engine, start),
