--- a/crates/trestled/src/claims.rs
+++ b/crates/trestled/src/claims.rs
@@ -2,8 +2,8 @@
 //!
 //! [`trestle_core::claim`] decides the steps of an attempt, and this module executes them. Each
 //! attempt runs in a task of its own, so that it is not interrupted between two steps if the caller
-//! disconnects or the deadline passes. A [`send_state`] decides whether the attempt may still send
-//! the call.
+//! disconnects or the deadline passes. The [`SendState`] of an attempt decides whether the attempt
+//! may still send its call.
 
 mod record;
 mod send_state;
--- a/crates/trestled/src/claims/record.rs
+++ b/crates/trestled/src/claims/record.rs
@@ -6,10 +6,10 @@
 use trestle_core::row::CommitOutcome;
 use trestle_wire::claim::{WireAnswerBody, WireClaim, WireClaimState, WireKeptAnswer};
 
-/// Time between two attempts to record an outcome.
+/// Time between two tries to record an outcome.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum number of attempts to record an outcome.
-const MAX_ATTEMPTS: u32 = 1_200;
+/// Maximum number of tries to record an outcome.
+const MAX_TRIES: u32 = 1_200;
 
 /// Reads a row and returns its version and its claim; version 0 and `None` if there is no such row.
 /// Fails if the platform cannot be read.
@@ -34,14 +34,14 @@
 }
 
 /// Records the outcome of a call in its row: the answer if there is one, or otherwise that the call
-/// was not run. Retries until the row is written, up to [`MAX_ATTEMPTS`] times.
+/// was not run. Retries until the row is written, up to [`MAX_TRIES`] times.
 pub(crate) async fn write_with_retries(
     daemon: &Daemon,
     row: &str,
     mut claim: WireClaim,
     answer: Option<ServiceAnswer>,
 ) {
-    for _ in 0..MAX_ATTEMPTS {
+    for _ in 0..MAX_TRIES {
         if let Some(answer) = &answer {
             match store_answer(daemon, &claim.attempt, answer).await {
                 Some(answer) => claim.state = WireClaimState::Answered { answer },
@@ -75,8 +75,8 @@
     Some(WireKeptAnswer { status: answer.status, content_type, body })
 }
 
-/// Overwrites the attempt's own claim or a row without a claim. Returns whether the row needs no
-/// further attempt: it was written, holds this outcome already, or belongs to another attempt.
+/// Overwrites the attempt's own claim or a row without a claim. Returns whether no further write is
+/// needed: the row was written, holds this outcome already, or holds the claim of another attempt.
 ///
 /// If the outcome of an earlier write of the claim is unknown, that write may still take effect
 /// later. Writing to the row while it has no claim changes its version, which prevents that.
--- a/crates/trestled/src/clock.rs
+++ b/crates/trestled/src/clock.rs
@@ -1,7 +1,7 @@
 //! The operators' local time, for the time windows of models.
 //!
-//! Windows decide only which models are loaded ahead of time, so a wrong clock costs an idle model
-//! or a cold start, and nothing else.
+//! Windows decide only which models are loaded ahead of time, so a wrong clock can cause no more
+//! than an idle model or a cold start.
 
 use crate::daemon::Daemon;
 use smol::Timer;
--- a/crates/trestled/src/config_watch.rs
+++ b/crates/trestled/src/config_watch.rs
@@ -1,8 +1,8 @@
 //! Keeps the configuration of this daemon up to date.
 //!
 //! The head row names the version in force. A version that is not newer than the daemon's own is
-//! never applied, whoever offers it. While the platform does not answer, the configuration is
-//! requested from peers instead.
+//! never applied, whoever offers it. While the head row or the file of its version cannot be read
+//! from the platform, the configuration is requested from peers instead.
 
 use crate::daemon::Daemon;
 use smol::Timer;
--- a/crates/trestled/src/control.rs
+++ b/crates/trestled/src/control.rs
@@ -1,8 +1,8 @@
 //! The control thread.
 //!
-//! It is the only thread that accesses the [`ControlState`] values of this daemon. It processes one
-//! message at a time: it passes events to the control state of their failure domain, and has
-//! [`crate::actions`] execute the actions that this returns.
+//! The control thread is the only one that accesses the [`ControlState`] values of this daemon. It
+//! processes one message at a time: it passes each event to the control state of the event's failure
+//! domain, and has [`crate::actions`] execute the actions that the control state returns.
 
 use crate::{
     actions,
@@ -42,8 +42,8 @@
     domain: DomainName,
     /// The control states of this daemon's own failure domain and of those that it has adopted.
     states: BTreeMap<DomainName, ControlState>,
-    /// Leases of the domains that this daemon follows in order to adopt them when all their daemons
-    /// are gone.
+    /// The observed leases of the other failure domains that this daemon watches, in order to adopt
+    /// them when all their daemons are gone.
     adoptions: BTreeMap<DomainName, Adoption>,
     /// Time of the next read of the leases in `adoptions`, on the daemon's clock.
     next_adoption_read_ms: u64,
@@ -53,16 +53,16 @@
 
 /// Starts the control thread. Fails if the thread cannot be created.
 pub(crate) fn start(daemon: Arc<Daemon>, messages: Receiver<Message>) -> Result<()> {
-    let own = DomainName::from(daemon.settings.domain.as_str());
+    let own_domain = DomainName::from(daemon.settings.domain.as_str());
     let mut control = Control {
         daemon,
-        domain: own.clone(),
+        domain: own_domain.clone(),
         states: BTreeMap::new(),
         adoptions: BTreeMap::new(),
         next_adoption_read_ms: 0,
         permit_replies: BTreeMap::new(),
     };
-    control.add_state(own);
+    control.add_state(own_domain);
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || smol::block_on(control.run(messages)))
@@ -144,7 +144,7 @@
     fn handle_event(&mut self, domain: &DomainName, event: Event) {
         let now_ms = self.daemon.now_ms();
         let Some(state) = self.states.get_mut(domain) else {
-            // This daemon no longer serves the domain, so the requester has to try another one.
+            // This daemon no longer serves the domain, so the requester has to try another daemon.
             if let Event::PermitRequested(request) = event {
                 let answer = PermitAnswer::NotOwner { owner_rank: None };
                 self.execute(domain, Action::Answer(request.ticket, answer));
@@ -209,12 +209,14 @@
         }
         let timing = timing(&self.daemon);
         self.next_adoption_read_ms = now_ms + timing.lease_ms;
-        let Some(own) = self.states.get(&self.domain).map(ControlState::membership) else { return };
-        let row = own.row();
+        let Some(membership) = self.states.get(&self.domain).map(ControlState::membership) else {
+            return;
+        };
+        let row = membership.row();
         let domains = self.daemon.routing().domain_names();
         let others = domains.into_iter().filter(|domain| !self.states.contains_key(domain));
         let followed: BTreeSet<DomainName> =
-            others.filter(|domain| adoption::follows(row, own.own_vm(), domain)).collect();
+            others.filter(|domain| adoption::follows(row, membership.own_vm(), domain)).collect();
         self.adoptions.retain(|domain, _| followed.contains(domain));
         for domain in followed {
             let adoption = self
@@ -228,8 +230,8 @@
 
     fn on_adoption_read(&mut self, domain: &DomainName, rows: Option<&Rows>) {
         let now_ms = self.daemon.now_ms();
-        let own = self.states.get(&self.domain).map(ControlState::membership);
-        let is_fresh = own.is_some_and(|membership| membership.lease_is_fresh(now_ms));
+        let membership = self.states.get(&self.domain).map(ControlState::membership);
+        let is_fresh = membership.is_some_and(|membership| membership.lease_is_fresh(now_ms));
         let Some(adoption) = self.adoptions.get_mut(domain) else { return };
         adoption.on_read(rows, is_fresh, now_ms);
         if !adoption.is_due(&self.domain, &self.daemon.routing().domain_names()) {
--- a/crates/trestled/src/daemon.rs
+++ b/crates/trestled/src/daemon.rs
@@ -44,7 +44,7 @@
     /// The HTTP client for calls that may not be repeated; it opens a connection for each.
     pub(crate) single_use_client: Client,
     pub(crate) metrics: Metrics,
-    /// Whether the daemon has left its failure domain.
+    /// Whether the daemon is no longer a member of its failure domain.
     has_left: AtomicBool,
     pub(crate) claim_writer: ClaimWriter,
     /// Whether a planned stop has begun.
--- a/crates/trestled/src/domains_watch.rs
+++ b/crates/trestled/src/domains_watch.rs
@@ -34,9 +34,9 @@
 }
 
 async fn update(daemon: &Daemon) {
-    let own = DomainName::from(daemon.settings.domain.as_str());
+    let own_domain = DomainName::from(daemon.settings.domain.as_str());
     let names = daemon.routing().domain_names();
-    let others: Vec<DomainName> = names.into_iter().filter(|name| *name != own).collect();
+    let others: Vec<DomainName> = names.into_iter().filter(|name| *name != own_domain).collect();
     if others.is_empty() {
         return;
     }
--- a/crates/trestled/src/entry.rs
+++ b/crates/trestled/src/entry.rs
@@ -65,8 +65,7 @@
         (_, path) => match path.strip_prefix("/services/") {
             Some(rest) => service::answer(daemon, call, conn, rest).await,
             None => {
-                let message =
-                    format!("no resource exists at {path}; `GET /v1/models` lists the models");
+                let message = format!("there is nothing at {path}; see /v1/models");
                 Failure::not_run(404, "unknown_path", message).into_answer(conn, &call.request_id)
             }
         },
@@ -81,7 +80,7 @@
     }
 }
 
-/// A request that counts as in flight until the value is dropped.
+/// A request or a background task that counts as in flight until the value is dropped.
 pub(crate) struct InFlight(Arc<Daemon>);
 
 impl InFlight {
--- a/crates/trestled/src/entry/body.rs
+++ b/crates/trestled/src/entry/body.rs
@@ -41,8 +41,7 @@
         let before = self.daemon.body_bytes.fetch_add(part.len(), Ordering::Relaxed);
         self.counted_bytes += part.len();
         if before + part.len() > self.daemon.settings.limits.all_bodies_bytes {
-            let message =
-                "the request bodies held by this daemon have reached their total size limit";
+            let message = "this daemon holds as many bytes of requests as it may";
             let failure = Failure::not_run(503, "too_many_bytes", message);
             return Err(failure.with_retry_after_ms(MEMORY_RETRY_MS));
         }
@@ -114,7 +113,7 @@
 }
 
 fn incomplete(error: &io::Error) -> Failure {
-    let message = format!("the body is incomplete: {error}");
+    let message = format!("the body did not arrive whole: {error}");
     Failure::not_run(400, "broken_body", message)
 }
 
--- a/crates/trestled/src/entry/call.rs
+++ b/crates/trestled/src/entry/call.rs
@@ -132,9 +132,7 @@
         let mut traffic = daemon.traffic();
         let count = traffic.requests_by_tenant.entry(tenant.clone()).or_default();
         if *count >= limit {
-            let message = format!(
-                "the tenant has reached its limit of {limit} concurrent requests at this daemon"
-            );
+            let message = format!("the tenant has {limit} requests here already");
             return Err(Failure::not_run(429, "tenant_busy", message)
                 .with_retry_after_ms(TENANT_BUSY_RETRY_MS));
         }
--- a/crates/trestled/src/entry/endpoint_search.rs
+++ b/crates/trestled/src/entry/endpoint_search.rs
@@ -1,9 +1,10 @@
 //! The search for an endpoint that can run a request to a model.
 //!
-//! All daemons query the candidates in the same order, so that a burst of requests for a cold model
-//! at many daemons starts a single load. An owner whose queue is longer than a load would take
-//! answers that its endpoint is busy, and the next candidate is queried; this is how another
-//! replica comes to be loaded. If all candidates are busy, the request waits at the least busy one.
+//! All daemons query the same candidate first, so that a burst of requests for a cold model at many
+//! daemons starts a single load. If the wait at an endpoint is longer than a load of the model would
+//! take, the owner of the endpoint answers that it is busy, and the next candidate is queried; this
+//! is how another replica is loaded. If all candidates are busy, the request waits at the least busy
+//! one.
 
 use super::{Failure, call::Call};
 use crate::{
@@ -168,13 +169,14 @@
                 daemon.traffic().placement_hints.record_not_placed(model, &endpoint, now_ms);
             }
             WirePermitAnswer::Busy { wait_ms } => {
-                let is_shorter = self.least_busy.as_ref().is_none_or(|(least, _)| wait_ms < *least);
+                let is_shorter =
+                    self.least_busy.as_ref().is_none_or(|(shortest_ms, _)| wait_ms < *shortest_ms);
                 if is_shorter {
                     self.least_busy = Some((wait_ms, endpoint));
                 }
             }
             WirePermitAnswer::Refused { reason, retry_after_ms }
-                if self.refusal.is_none_or(|(least, _)| retry_after_ms < least) =>
+                if self.refusal.is_none_or(|(shortest_ms, _)| retry_after_ms < shortest_ms) =>
             {
                 self.refusal = Some((retry_after_ms, reason));
             }
@@ -197,13 +199,11 @@
             return refusal_failure(reason, model).with_retry_after_ms(retry_after_ms);
         }
         if self.has_reached_owner && !self.has_lost_owner {
-            let message = format!(
-                "model `{model}` is not placed at any engine yet; its placement is being decided"
-            );
+            let message = format!("model `{model}` has no place yet; it is being decided");
             return Failure::not_run(503, "not_placed", message)
                 .with_retry_after_ms(NOT_PLACED_RETRY_MS);
         }
-        let message = format!("no owner of an engine for model `{model}` can be reached");
+        let message = format!("no daemon in charge of an engine for `{model}` can be reached");
         Failure::not_run(503, "no_owner", message).with_retry_after_ms(NO_OWNER_RETRY_MS)
     }
 }
@@ -216,7 +216,7 @@
         WireRefusal::TenantQueueFull => {
             (429, "tenant_queue_full", "has too many requests of this tenant waiting")
         }
-        WireRefusal::Leaving => (503, "endpoint_leaving", "has only engines that are draining"),
+        WireRefusal::Leaving => (503, "endpoint_leaving", "has only engines that are leaving"),
         WireRefusal::EndpointSilent => {
             (503, "endpoint_silent", "has only engines that do not answer")
         }
--- a/crates/trestled/src/entry/engine_call.rs
+++ b/crates/trestled/src/entry/engine_call.rs
@@ -43,7 +43,7 @@
 }
 
 /// Sends a request to the engine of the permit. The permit is released at the end of the answer,
-/// also where that is streamed.
+/// also if the answer is streamed.
 pub(crate) async fn send(
     daemon: &Arc<Daemon>,
     call: &Call,
@@ -55,7 +55,7 @@
         return SendOutcome::NotRun("the engine is no longer declared".to_owned());
     };
     if !permit.is_usable() {
-        return SendOutcome::NotRun("the permit has expired".to_owned());
+        return SendOutcome::NotRun("the permit is too old to be used".to_owned());
     }
     let url = format!("{url}{}", completion.path);
     let timed_out = async {
@@ -122,10 +122,10 @@
     let body = conn.response_body().with_max_len(MAX_ANSWER_BYTES).read_bytes().await;
     let body = match body {
         Ok(body) => body,
-        Err(error) => return SendOutcome::Failed(format!("the answer is incomplete: {error}")),
+        Err(error) => return SendOutcome::Failed(format!("the answer broke off: {error}")),
     };
     let Ok(content) = serde_json::from_slice::<Value>(&body) else {
-        return SendOutcome::Failed("the answer is incomplete or not JSON".to_owned());
+        return SendOutcome::Failed("the answer is cut or not JSON".to_owned());
     };
     if content["id"].as_str() != Some(call.request_id.as_str()) {
         return SendOutcome::Failed("the answer belongs to another request".to_owned());
@@ -148,7 +148,7 @@
     let forwarding = async move {
         let timed_out = async {
             Timer::at(deadline).await;
-            StreamEnd::Aborted("the deadline passed before the end of the answer".to_owned())
+            StreamEnd::Aborted("the deadline came before the end of the answer".to_owned())
         };
         let end = forward_events(conn, &request_id, &parts).or(timed_out).await;
         if let StreamEnd::Aborted(message) = end {
@@ -161,7 +161,7 @@
     let first = match received.recv().await {
         Ok(Ok(first)) => first,
         Ok(Err(message)) => return SendOutcome::Failed(message),
-        Err(_) => return SendOutcome::Failed("the answer ended before its first part".to_owned()),
+        Err(_) => return SendOutcome::Failed("the answer ended before it began".to_owned()),
     };
     let request_id = call.request_id.clone();
     let rest = received
@@ -176,7 +176,8 @@
     Aborted(String),
 }
 
-/// Forwards events until the end of the answer, or until one belongs to another request.
+/// Forwards events until the end of the answer, until the caller no longer reads them, or until an
+/// event belongs to another request.
 async fn forward_events(
     mut conn: Conn,
     request_id: &str,
@@ -186,8 +187,8 @@
     loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => return StreamEnd::Aborted("the answer is incomplete".to_owned()),
-            Err(error) => return StreamEnd::Aborted(format!("the answer is incomplete: {error}")),
+            Ok(None) => return StreamEnd::Aborted("the answer broke off".to_owned()),
+            Err(error) => return StreamEnd::Aborted(format!("the answer broke off: {error}")),
         };
         let is_last = match event.classify(request_id) {
             EventKind::Part => false,
--- a/crates/trestled/src/entry/model.rs
+++ b/crates/trestled/src/entry/model.rs
@@ -96,7 +96,7 @@
 ) -> Result<Answer, Failure> {
     daemon.traffic().retries.deposit();
     let mut excluded = BTreeSet::new();
-    let mut last = Failure::not_run(503, "engine_failed", "no engine could run the request");
+    let mut last = Failure::not_run(503, "engine_failed", "the engine could not serve");
     for attempt in 1..=MAX_ATTEMPTS {
         if attempt > 1 && !try_withdraw_retry(daemon) {
             break;
@@ -178,7 +178,7 @@
         }
         SendOutcome::DeadlinePassed => {
             health.record_failure(now_ms);
-            let message = "no complete answer arrived by the deadline; the request may have run";
+            let message = "no whole answer came by the deadline; the request may have run";
             Err(AttemptError::Final(Failure::unknown(504, "deadline_passed", message)))
         }
     }
--- a/crates/trestled/src/entry/server_selection.rs
+++ b/crates/trestled/src/entry/server_selection.rs
@@ -38,7 +38,7 @@
     servers.into_iter().map(|(.., name)| name.clone()).collect()
 }
 
-/// Reserves a call at a server; `None` if the service does not list the server, or if the daemon
+/// Reserves a slot at a server; `None` if the service does not list the server, or if the daemon
 /// has reached its limit of concurrent calls there.
 pub(crate) fn acquire(
     daemon: &Arc<Daemon>,
--- a/crates/trestled/src/entry/service.rs
+++ b/crates/trestled/src/entry/service.rs
@@ -89,7 +89,7 @@
         return Ok((header.to_owned(), key.to_owned()));
     }
     let message = format!(
-        "this call is not repeatable; send `{header}` with a unique key of \
+        "this call may not be repeated; send `{header}` with a key of its own, \
          1 to {MAX_KEY_CHARS} letters, digits, `-`, `_`, `.` or `:`",
     );
     Err(Failure::not_run(400, "idempotency_key_missing", message))
@@ -124,7 +124,7 @@
 }
 
 fn busy() -> Failure {
-    let message = "every server of the service has reached its limit of concurrent calls";
+    let message = "every server of the service has as many calls as it takes";
     Failure::not_run(503, "service_busy", message)
 }
 
@@ -147,7 +147,7 @@
         ClaimOutcome::Answered(answer) => Ok(answer),
         ClaimOutcome::NotRun if daemon.platform_is_down() => {
             let message = "the platform does not answer, so the call was not claimed and not \
-                           sent; if the key was sent before, that earlier call may have run";
+                           sent; if the key was sent before, that may have run";
             Err(Failure::not_run(503, "platform_down", message)
                 .with_retry_after_ms(PLATFORM_RETRY_MS))
         }
@@ -156,14 +156,14 @@
             Err(Failure::not_run(503, "not_sent", message).with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::Unknown => {
-            let message = "the call may have run; send it again with the same key to learn its \
-                           outcome, which never runs it a second time";
+            let message = "the call may have run; ask again with the same key, \
+                           which never runs it a second time";
             Err(Failure::unknown(504, "outcome_unknown", message)
                 .with_retry_after_ms(FAILED_RETRY_MS))
         }
         ClaimOutcome::OtherCall => {
-            let message = "the key was used for a call with another method, path or body; \
-                           use a different key for each call";
+            let message = "the key stands for a call with another method, path or body; \
+                           give each call a key of its own";
             Err(Failure::not_run(409, "idempotency_key_reused", message))
         }
     }
--- a/crates/trestled/src/entry/service_call.rs
+++ b/crates/trestled/src/entry/service_call.rs
@@ -51,7 +51,7 @@
 ) -> CallOutcome {
     let timed_out = async {
         smol::Timer::after(limit).await;
-        CallOutcome::AnswerLost("no answer arrived in time".to_owned())
+        CallOutcome::AnswerLost("no answer came in time".to_owned())
     };
     let outcome = exchange(client, slot, call).or(timed_out).await;
     slot.record_outcome(matches!(outcome, CallOutcome::Answered(_)));
@@ -98,10 +98,10 @@
     let expected = body.content_length();
     let body = match body.read_bytes().await {
         Ok(body) => body,
-        Err(error) => return CallOutcome::AnswerLost(format!("the answer is incomplete: {error}")),
+        Err(error) => return CallOutcome::AnswerLost(format!("the answer broke off: {error}")),
     };
     if expected.is_some_and(|length| length != body.len() as u64) {
-        return CallOutcome::AnswerLost("the answer is incomplete".to_owned());
+        return CallOutcome::AnswerLost("the answer broke off".to_owned());
     }
     if answered_id != request_id {
         return CallOutcome::AnswerLost("the answer belongs to another request".to_owned());
--- a/crates/trestled/src/entry/sse.rs
+++ b/crates/trestled/src/entry/sse.rs
@@ -44,7 +44,7 @@
                 return Ok(Some(RawEvent(std::mem::replace(&mut self.buffer, rest))));
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
-                return Err(io::Error::other("an event exceeds the size limit"));
+                return Err(io::Error::other("an event is too long"));
             }
             let mut chunk = [0; READ_BYTES];
             let count = self.reader.read(&mut chunk).await?;
--- a/crates/trestled/src/main.rs
+++ b/crates/trestled/src/main.rs
@@ -9,8 +9,8 @@
 //!   and operators ([`admin`]). They send messages to the control thread, and read configuration
 //!   and membership from [`routing`].
 //!
-//! This describes daemons for engines that implement the project's own interface. With the settings
-//! of an entry daemon, the process runs [`trestle_entry`] instead.
+//! Only a daemon for engines that implement the project's own interface has these two parts. With
+//! the settings of an entry daemon, the process runs [`trestle_entry`] instead.
 
 mod actions;
 mod admin;
--- a/crates/trestled/src/stop.rs
+++ b/crates/trestled/src/stop.rs
@@ -1,8 +1,8 @@
 //! Planned stops.
 //!
 //! The daemon first reports that it is not ready, so that the balancer sends it no new requests. It
-//! then leaves its failure domain, so that other daemons own its endpoints, completes the requests
-//! in flight, and closes its listener for callers.
+//! then leaves the membership of its failure domain, so that other daemons own its endpoints,
+//! completes the requests in flight, and closes its listener for callers.
 
 use crate::{
     daemon::Daemon,
