--- a/crates/trestled/src/surroundings.rs
+++ b/crates/trestled/src/surroundings.rs
@@ -1,7 +1,7 @@
 //! The surroundings that a daemon with an outside store can be given.
 
 use trestle_entry::wire::{EndpointWire, HeadWire, StoreWire, Wire};
-use trestle_platform::{READINESS_PATH, configuration, endpoint, head, notice, order, store};
+use trestle_platform::{READINESS_PATH, configuration, endpoint, head, order, signals, store};
 
 /// The users' platform.
 pub(crate) fn platform() -> Wire {
@@ -30,9 +30,9 @@
             read_request: head::read_request,
             forward_request: head::forward_request,
             read_answer: head::read_answer,
-            read_signals: notice::read,
+            read_signals: signals::read,
             forward_answer: head::forward_answer,
-            own_answer: head::own_answer,
+            own_answer: head::set_request_id,
         },
         readiness_path: READINESS_PATH,
     }
