--- a/crates/trestle-entry/src/traffic/handle.rs
+++ b/crates/trestle-entry/src/traffic/handle.rs
@@ -106,6 +106,7 @@
 }
 
 /// Identifies the caller and finds the route and the service of a request.
+
 fn build_task(
     daemon: &Arc<Daemon>,
     catalog: &Catalog,
@@ -177,12 +178,12 @@
 ) -> Result<Identity, Failure> {
     let freshness = &daemon.freshness;
     let certainty = ConfigCertainty {
-        proves_keys: freshness.proves_keys(arrived_ms),
+        can_accept_keys: freshness.proves_keys(arrived_ms),
         may_lack_newer: freshness.may_lack_config(arrived_ms),
     };
     Identity::of(catalog, route, credential, certainty).map_err(|error| match error {
         NotAdmitted::UnknownKey => Failure::NoKey,
-        NotAdmitted::Unsure => {
+        NotAdmitted::Uncertain => {
             Failure::NotRun { retry_after_ms: UNSURE_KEY_RETRY_MS, why: "key_unsure" }
         }
     })
@@ -190,6 +191,7 @@
 
 /// Reads a request body, within the limits that the configuration sets on its size and on the time
 /// that reading it may take.
+
 async fn read_body(body: Incoming, catalog: &Catalog) -> Result<Bytes, Failure> {
     let collected = async {
         match Limited::new(body, catalog.limits.body_bytes).collect().await {
@@ -207,6 +209,7 @@
 
 /// Forwards a request and reports how it ended. The end of a stream is reported later, when its
 /// body is dropped.
+
 async fn forward(task: Arc<Task>) -> Response<Body> {
     record_arrival(&task);
     let outcome = match task.route.is_stream() {
@@ -236,6 +239,7 @@
 }
 
 /// Counts the request for its service and its model.
+
 fn record_arrival(task: &Task) {
     task.daemon.shared_view.with(|local_view| {
         local_view.request_arrived(&task.service, task.arrived_ms);
