--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -1,4 +1,4 @@
-//! What is asked for, as all daemons tell the leader.
+//! The demand of all callers, as daemons report it to the leader.
 
 use crate::{
     average::MovingAverage,
@@ -9,77 +9,76 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{AdapterName, EndpointName, ModelName, VmName};
 
-/// What a request counts against one that is more urgent by a step. Operators of the
-/// deployments credit their most urgent class with 7 to 9 times the next, and the classes
-/// below it about alike.
+/// Value of a request relative to one of the next higher priority. Operators of the deployments
+/// credit their most urgent class with 7 to 9 times the next, and the classes below it about alike.
 const URGENCY_STEP: f64 = 0.3;
-/// Time after which a daemon that tells nothing no longer counts.
-const SILENT_MS: u64 = 2_000;
-/// Time in which the most requests that ran at once lose weight to 1/e: some streams' length,
-/// so that a replica is not given away between two of them.
-const PEAK_MEMORY_MS: f64 = 3_000.0;
-/// Time after which the last use of an adapter is forgotten; those forgotten go first.
+/// Time after its last report for which a daemon's report counts as current.
+const CURRENT_MS: u64 = 2_000;
+/// Time in which the peak number of running requests decays to 1/e: the length of some streams, so
+/// that a replica is not given up between two of them.
+const PEAK_DECAY_MS: f64 = 3_000.0;
+/// Time for which the last use of an adapter is remembered; adapters without one are evicted first.
 const ADAPTER_MEMORY_MS: u64 = 60_000;
-/// Weight of the newest look in the average time that a request runs; plans look some ten
-/// times a second.
-const NEWEST_RUN_WEIGHT: f64 = 0.02;
-/// Time for which a daemon counts among those that share budgets.
+/// Weight of the newest sample in the average running time of a request; a plan takes one sample,
+/// some ten times a second.
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.02;
+/// Time after its last report for which a daemon counts among those that share budgets.
 const COUNTED_MS: u64 = 30_000;
 
-/// What one daemon tells of one service.
+/// One daemon's demand for one service, as reported to a leader.
 #[trestle_macros::plain]
 #[derive(Default)]
 pub struct DemandReport {
-    /// Number of the digest; each daemon counts its own.
+    /// Number of the report; each daemon counts its own.
     pub number: u64,
-    /// Requests that arrived since the last digest.
+    /// Requests that arrived since the last report, by model.
     pub arrivals: BTreeMap<ModelName, u32>,
-    /// All that arrived until now, for a leader that has not heard of it.
+    /// All arrivals so far, for a leader that has not received them yet.
     pub past: Option<Vec<PastArrivals>>,
     /// Requests that wait for a model.
     pub waiting: Vec<Waiting>,
-    /// Requests that run, by engine and model.
+    /// Running requests, by engine and model.
     pub running: BTreeMap<EndpointName, BTreeMap<ModelName, u32>>,
-    /// Requests that run, by engine and adapter.
+    /// Adapters in use, by engine.
     pub adapters_in_use: BTreeMap<EndpointName, Vec<(ModelName, AdapterName)>>,
-    /// Requests that run at engines that are not named, by model, as one leader tells another.
+    /// Running requests by model, at engines that are not named; only in reports between leaders.
     pub running_elsewhere: BTreeMap<ModelName, u32>,
 }
 
-/// Requests of one daemon that wait for the same thing, or will be back for it.
+/// Requests of one daemon that wait for the same model or adapter, or whose callers will retry.
 #[trestle_macros::key]
 pub struct Waiting {
-    /// Urgency of the most urgent; 0 goes first.
+    /// Priority of the most urgent request; 0 goes first.
     pub priority: u8,
     /// Time until the first of them is no longer on time.
     pub due_in_ms: u64,
     /// The model.
     pub model: ModelName,
-    /// The adapter, if it is one that is missing.
+    /// The adapter; `None` if they wait for the model alone.
     pub adapter: Option<AdapterName>,
-    /// How many.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// What a want counts for.
+/// The demand of all daemons for one model or adapter that is not ready.
 #[derive(Debug, Clone, Copy)]
 pub struct AggregateDemand<'a> {
     /// The model.
     pub model: &'a ModelName,
-    /// The adapter, if it is one that is missing.
+    /// The adapter; `None` if the requests wait for the model alone.
     pub adapter: Option<&'a AdapterName>,
-    /// Urgency of the most urgent request; 0 goes first.
+    /// Priority of the most urgent request; 0 goes first.
     pub priority: u8,
-    /// Time until the first of them is no longer on time.
+    /// Time until the first of the requests is no longer on time.
     pub due_in_ms: u64,
-    /// Requests that wait for it.
+    /// Number of requests that wait.
     pub count: u32,
-    /// The same, each by its urgency.
+    /// Sum of the requests, each weighted by its priority.
     pub value: f64,
 }
 
 impl<'a> AggregateDemand<'a> {
-    fn nothing_of(waiting: &'a Waiting) -> Self {
+    fn empty(waiting: &'a Waiting) -> Self {
         Self {
             model: &waiting.model,
             adapter: waiting.adapter.as_ref(),
@@ -99,18 +98,18 @@
     }
 }
 
-/// What all daemons ask for, of one service.
+/// The demand of all daemons for one service.
 #[derive(Debug)]
 pub struct Demand {
-    daemons: BTreeMap<VmName, Told>,
+    daemons: BTreeMap<VmName, DaemonRecord>,
     rates: Rates,
-    /// The same of what daemons themselves tell, without what other leaders do.
+    /// Arrival rates by the daemons' own reports, without those of other leaders.
     own_rates: Rates,
-    /// Most requests that ran at once lately, by model.
+    /// Recent peaks of the number of running requests, by model.
     peaks: BTreeMap<ModelName, Peak>,
-    /// Since when somebody has waited for models that no engine holds.
+    /// Since when requests have waited for models that no engine holds.
     missing_since_ms: BTreeMap<ModelName, u64>,
-    /// Time that a request runs, on average.
+    /// Average running time of a request.
     run_s: MovingAverage,
     /// When adapters were last in use.
     adapters_used_ms: BTreeMap<(ModelName, AdapterName), u64>,
@@ -124,7 +123,7 @@
             own_rates: Rates::default(),
             peaks: BTreeMap::new(),
             missing_since_ms: BTreeMap::new(),
-            run_s: MovingAverage::new(NEWEST_RUN_WEIGHT),
+            run_s: MovingAverage::new(NEWEST_SAMPLE_WEIGHT),
             adapters_used_ms: BTreeMap::new(),
         }
     }
@@ -139,254 +138,261 @@
 impl Peak {
     fn decayed(self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.running * (-age_ms / PEAK_MEMORY_MS).exp()
+        self.running * (-age_ms / PEAK_DECAY_MS).exp()
     }
 }
 
 #[derive(Debug)]
-struct Told {
+struct DaemonRecord {
     at_ms: u64,
-    /// Whether it leads other engines, and tells what its daemons have told it.
+    /// Whether the daemon leads other engines and reports for its own daemons.
     is_leader: bool,
-    /// Whether it has told what it remembers.
-    has_remembered: bool,
-    /// Number of its last digest that a plan has looked at.
-    planned: u64,
-    digest: DemandReport,
+    /// Whether the daemon has reported its past arrivals.
+    has_history: bool,
+    /// Number of the daemon's last report that a plan has included.
+    last_planned: u64,
+    report: DemandReport,
 }
 
 impl Demand {
-    /// Takes what a daemon tells.
-    pub fn report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
-        let has_remembered = self.has_remembered(&daemon);
-        note_arrivals(&mut self.own_rates, &digest, has_remembered, now_ms);
-        self.take(daemon, digest, false, now_ms);
+    /// Records a report of a daemon.
+    pub fn report_received(&mut self, daemon: VmName, report: DemandReport, now_ms: u64) {
+        let has_history = self.has_history(&daemon);
+        record_arrivals(&mut self.own_rates, &report, has_history, now_ms);
+        self.store_report(daemon, report, false, now_ms);
     }
 
-    /// Takes what another leader tells of its daemons.
-    pub fn leader_report_received(&mut self, daemon: VmName, digest: DemandReport, now_ms: u64) {
-        self.take(daemon, digest, true, now_ms);
+    /// Records another leader's report for its daemons.
+    pub fn leader_report_received(&mut self, daemon: VmName, report: DemandReport, now_ms: u64) {
+        self.store_report(daemon, report, true, now_ms);
     }
 
-    fn has_remembered(&self, daemon: &VmName) -> bool {
-        self.daemons.get(daemon).is_some_and(|told| told.has_remembered)
+    fn has_history(&self, daemon: &VmName) -> bool {
+        self.daemons.get(daemon).is_some_and(|record| record.has_history)
     }
 
-    fn take(&mut self, daemon: VmName, digest: DemandReport, is_leader: bool, now_ms: u64) {
-        let before = self.has_remembered(&daemon);
-        note_arrivals(&mut self.rates, &digest, before, now_ms);
-        let has_remembered = before || digest.past.is_some();
-        for adapter in digest.adapters_in_use.values().flatten() {
+    fn store_report(&mut self, daemon: VmName, report: DemandReport, is_leader: bool, now_ms: u64) {
+        let had_history = self.has_history(&daemon);
+        record_arrivals(&mut self.rates, &report, had_history, now_ms);
+        let has_history = had_history || report.past.is_some();
+        for adapter in report.adapters_in_use.values().flatten() {
             self.adapters_used_ms.insert(adapter.clone(), now_ms);
         }
-        let planned = self.planned(&daemon);
-        let told = Told { at_ms: now_ms, is_leader, has_remembered, planned, digest };
-        self.daemons.insert(daemon, told);
+        let last_planned = self.last_planned(&daemon);
+        let record = DaemonRecord { at_ms: now_ms, is_leader, has_history, last_planned, report };
+        self.daemons.insert(daemon, record);
     }
 
-    /// Number of the last digest of a daemon that a plan has looked at.
-    pub fn planned(&self, daemon: &VmName) -> u64 {
-        self.daemons.get(daemon).map_or(0, |told| told.planned)
+    /// Returns the number of a daemon's last report that a plan has included; 0 if there is none.
+    pub fn last_planned(&self, daemon: &VmName) -> u64 {
+        self.daemons.get(daemon).map_or(0, |record| record.last_planned)
     }
 
-    /// Notes that a plan looks at all that was told, where engines hold these models. What a
-    /// daemon told counts as planned once everybody who sees to its wishes has planned.
+    /// Records that a plan includes all reports so far, given the models that engines hold.
+    ///
+    /// A daemon's report counts as planned once every leader responsible for its pending demand has
+    /// planned.
     pub fn record_plan(
         &mut self,
         held: &BTreeSet<ModelName>,
         is_planned: impl Fn(&Loadable) -> bool,
         now_ms: u64,
     ) {
-        for told in self.daemons.values_mut() {
-            let mut waiting = told.digest.waiting.iter();
-            if told.is_leader || waiting.all(|waiting| is_planned(&waiting.loadable())) {
-                told.planned = told.digest.number;
+        for record in self.daemons.values_mut() {
+            let mut waiting = record.report.waiting.iter();
+            if record.is_leader || waiting.all(|waiting| is_planned(&waiting.loadable())) {
+                record.last_planned = record.report.number;
             }
         }
-        self.note_peaks(now_ms);
-        let wanted: BTreeSet<ModelName> =
-            self.aggregate(now_ms).into_iter().map(|want| want.model.clone()).collect();
-        self.missing_since_ms.retain(|model, _| wanted.contains(model) && !held.contains(model));
-        for model in wanted.into_iter().filter(|model| !held.contains(model)) {
+        self.record_peaks(now_ms);
+        let in_demand: BTreeSet<ModelName> =
+            self.aggregate(now_ms).into_iter().map(|demand| demand.model.clone()).collect();
+        self.missing_since_ms.retain(|model, _| in_demand.contains(model) && !held.contains(model));
+        for model in in_demand.into_iter().filter(|model| !held.contains(model)) {
             self.missing_since_ms.entry(model).or_insert(now_ms);
         }
     }
 
-    fn note_peaks(&mut self, now_ms: u64) {
+    fn record_peaks(&mut self, now_ms: u64) {
         let usage = self.usage(now_ms);
-        let asked_per_s: f64 = self.rates.iter(now_ms).map(|(_, per_s)| per_s).sum();
+        let arrivals_per_s: f64 = self.rates.iter(now_ms).map(|(_, per_s)| per_s).sum();
         let all: u32 = usage.models().map(|model| usage.of_model(model)).sum();
-        let run_s = f64::from(all) / asked_per_s.max(1.0);
+        let run_s = f64::from(all) / arrivals_per_s.max(1.0);
         let running: Vec<(ModelName, f64)> =
             usage.models().map(|model| (model.clone(), f64::from(usage.of_model(model)))).collect();
         for (model, running) in running {
-            let before = self.peaks.get(&model).map_or(0.0, |peak| peak.decayed(now_ms));
-            self.peaks.insert(model, Peak { running: running.max(before), at_ms: now_ms });
+            let earlier = self.peaks.get(&model).map_or(0.0, |peak| peak.decayed(now_ms));
+            self.peaks.insert(model, Peak { running: running.max(earlier), at_ms: now_ms });
         }
         self.run_s.add(run_s);
         self.peaks.retain(|_, peak| peak.decayed(now_ms) >= 0.5);
     }
 
-    /// Most requests for a model that ran at once lately.
+    /// Returns the recent peak of the number of running requests for a model.
     pub fn peak(&self, model: &ModelName, now_ms: u64) -> u32 {
         self.peaks.get(model).map_or(0, |peak| peak.decayed(now_ms).round() as u32)
     }
 
-    /// Time that a request runs, on average over all models: as many run at once as arrive in
-    /// that time.
+    /// Returns the running time of a request, in seconds, averaged over all models. It follows from
+    /// the number of running requests, which is the number that arrives in that time.
     pub fn run_s(&self) -> f64 {
         self.run_s.get().unwrap_or_default()
     }
 
-    /// For how long somebody has waited for a model that no engine holds.
+    /// Returns the time for which requests have waited for a model that no engine holds; 0 if none
+    /// do.
     pub fn missing_ms(&self, model: &ModelName, now_ms: u64) -> u64 {
         let since_ms = self.missing_since_ms.get(model);
         since_ms.map_or(0, |since_ms| now_ms.saturating_sub(*since_ms))
     }
 
-    /// Forgets daemons that have been silent for long.
-    pub fn tick(&mut self, now_ms: u64) {
-        self.daemons.retain(|_, told| now_ms < told.at_ms + COUNTED_MS);
+    /// Drops daemons that have been silent for long and other lapsed records.
+    pub fn drop_lapsed(&mut self, now_ms: u64) {
+        self.daemons.retain(|_, record| now_ms < record.at_ms + COUNTED_MS);
         self.rates.forget(now_ms);
         self.own_rates.forget(now_ms);
         self.adapters_used_ms.retain(|_, at_ms| now_ms < *at_ms + ADAPTER_MEMORY_MS);
     }
 
-    /// Daemons that told something lately.
+    /// Returns the number of daemons that have reported lately.
     pub fn daemons(&self) -> usize {
         self.daemons.len()
     }
 
-    /// How often models are asked for.
+    /// Returns the arrival rates of the models.
     pub fn rates(&self) -> &Rates {
         &self.rates
     }
 
-    /// Everything that waits, added up over all daemons, the most urgent first.
+    /// Returns all pending demand, summed over the daemons, the most urgent first.
     pub fn aggregate(&self, now_ms: u64) -> Vec<AggregateDemand<'_>> {
         self.aggregate_where(now_ms, |_| true)
     }
 
-    /// The same, of what daemons themselves tell only models that pass; what another leader
-    /// tells, it asks for here.
+    /// Returns the pending demand of the daemons for what passes `is_here`, and all that other
+    /// leaders report, since they report only what this leader is responsible for.
     pub fn aggregate_where(
         &self,
         now_ms: u64,
         is_here: impl Fn(&Loadable) -> bool,
     ) -> Vec<AggregateDemand<'_>> {
-        let mut wants: BTreeMap<_, AggregateDemand<'_>> = BTreeMap::new();
-        let told = self.live_told(now_ms);
-        let waiting = told.flat_map(|told| told.digest.waiting.iter().map(|w| (told.is_leader, w)));
+        let mut demands: BTreeMap<_, AggregateDemand<'_>> = BTreeMap::new();
+        let records = self.current_records(now_ms);
+        let waiting =
+            records.flat_map(|record| record.report.waiting.iter().map(|w| (record.is_leader, w)));
         let waiting = waiting.filter(|(from_leader, w)| *from_leader || is_here(&w.loadable()));
         for (_, waiting) in waiting {
-            let want = wants
+            let demand = demands
                 .entry((&waiting.model, waiting.adapter.as_ref()))
-                .or_insert_with(|| AggregateDemand::nothing_of(waiting));
-            want.add(waiting);
+                .or_insert_with(|| AggregateDemand::empty(waiting));
+            demand.add(waiting);
         }
-        let mut wants: Vec<AggregateDemand<'_>> = wants.into_values().collect();
-        wants.sort_by_key(|want| (want.priority, want.due_in_ms));
-        wants
+        let mut demands: Vec<AggregateDemand<'_>> = demands.into_values().collect();
+        demands.sort_by_key(|demand| (demand.priority, demand.due_in_ms));
+        demands
     }
 
-    /// Requests that run now.
+    /// Returns the running requests.
     pub fn usage(&self, now_ms: u64) -> Usage<'_> {
         let mut usage = Usage::default();
-        for digest in self.live(now_ms) {
-            for (endpoint, running) in &digest.running {
+        for report in self.current(now_ms) {
+            for (endpoint, running) in &report.running {
                 for (model, count) in running {
                     usage.add(endpoint, model, *count);
                 }
             }
-            for (model, count) in &digest.running_elsewhere {
+            for (model, count) in &report.running_elsewhere {
                 usage.add_elsewhere(model, *count);
             }
         }
         usage
     }
 
-    /// When an adapter was last in use, as far as is known.
+    /// Returns when an adapter was last in use; 0 if that is not known.
     pub fn adapter_used_ms(&self, adapter: &(ModelName, AdapterName)) -> u64 {
         self.adapters_used_ms.get(adapter).copied().unwrap_or_default()
     }
 
-    /// Whether a request with an adapter runs at an engine.
+    /// Returns whether a request with this adapter runs at an engine.
     pub fn uses_adapter(
         &self,
         endpoint: &EndpointName,
         adapter: &(ModelName, AdapterName),
         now_ms: u64,
     ) -> bool {
-        let mut of_engine = self.live(now_ms).filter_map(|told| told.adapters_in_use.get(endpoint));
-        of_engine.any(|adapters| adapters.contains(adapter))
+        let mut in_use =
+            self.current(now_ms).filter_map(|report| report.adapters_in_use.get(endpoint));
+        in_use.any(|adapters| adapters.contains(adapter))
     }
 
-    /// What daemons themselves wait for.
-    pub fn waited_for(&self, now_ms: u64) -> BTreeSet<Loadable> {
-        let waiting = self.live_own(now_ms).flat_map(|digest| &digest.waiting);
+    /// Returns what the daemons' own requests wait for.
+    pub fn pending_loadables(&self, now_ms: u64) -> BTreeSet<Loadable> {
+        let waiting = self.current_own(now_ms).flat_map(|report| &report.waiting);
         waiting.map(Waiting::loadable).collect()
     }
 
-    /// What another leader is told: of what daemons themselves tell, that which is about its
-    /// engines or about wishes that it sees to.
+    /// Returns the report to another leader: the daemons' own demand as far as it concerns that
+    /// leader's engines or is assigned to it.
     pub fn report_for(
         &self,
         is_its_engine: impl Fn(&EndpointName) -> bool,
-        is_its_wish: impl Fn(&Loadable) -> bool,
+        is_assigned: impl Fn(&Loadable) -> bool,
         now_ms: u64,
     ) -> DemandReport {
-        let mut digest = DemandReport::default();
+        let mut report = DemandReport::default();
         let mut waiting: BTreeMap<(ModelName, Option<AdapterName>), Waiting> = BTreeMap::new();
-        for told in self.live_own(now_ms) {
-            for wish in told.waiting.iter().filter(|wish| is_its_wish(&wish.loadable())) {
-                let key = (wish.model.clone(), wish.adapter.clone());
-                let nothing = Waiting { count: 0, ..wish.clone() };
-                waiting.entry(key).or_insert(nothing).add(wish);
+        for daemon_report in self.current_own(now_ms) {
+            for requests in
+                daemon_report.waiting.iter().filter(|requests| is_assigned(&requests.loadable()))
+            {
+                let key = (requests.model.clone(), requests.adapter.clone());
+                let empty = Waiting { count: 0, ..requests.clone() };
+                waiting.entry(key).or_insert(empty).add(requests);
             }
-            for (endpoint, models) in &told.running {
+            for (endpoint, models) in &daemon_report.running {
                 let engine = is_its_engine(endpoint);
-                let known = match engine {
-                    true => digest.running.entry(endpoint.clone()).or_default(),
-                    false => &mut digest.running_elsewhere,
+                let entry = match engine {
+                    true => report.running.entry(endpoint.clone()).or_default(),
+                    false => &mut report.running_elsewhere,
                 };
                 for (model, count) in models {
-                    *known.entry(model.clone()).or_default() += count;
+                    *entry.entry(model.clone()).or_default() += count;
                 }
             }
-            let adapters = told.adapters_in_use.iter();
+            let adapters = daemon_report.adapters_in_use.iter();
             for (endpoint, adapters) in adapters.filter(|(endpoint, _)| is_its_engine(endpoint)) {
-                let known = digest.adapters_in_use.entry(endpoint.clone()).or_default();
-                known.extend(adapters.iter().cloned());
+                let entry = report.adapters_in_use.entry(endpoint.clone()).or_default();
+                entry.extend(adapters.iter().cloned());
             }
         }
-        for adapters in digest.adapters_in_use.values_mut() {
+        for adapters in report.adapters_in_use.values_mut() {
             adapters.sort();
             adapters.dedup();
         }
-        digest.waiting = waiting.into_values().collect();
-        digest
+        report.waiting = waiting.into_values().collect();
+        report
     }
 
-    /// What daemons themselves have asked for until now, for a leader that has not heard of it.
+    /// Returns the daemons' own arrivals so far, for a leader that has not received them yet.
     pub fn own_history(&self, now_ms: u64) -> Vec<PastArrivals> {
         self.own_rates.history(now_ms)
     }
 
-    fn live(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
-        self.live_told(now_ms).map(|told| &told.digest)
+    fn current(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
+        self.current_records(now_ms).map(|record| &record.report)
     }
 
-    fn live_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
-        self.live_told(now_ms).filter(|told| !told.is_leader).map(|told| &told.digest)
+    fn current_own(&self, now_ms: u64) -> impl Iterator<Item = &DemandReport> {
+        self.current_records(now_ms).filter(|record| !record.is_leader).map(|record| &record.report)
     }
 
-    fn live_told(&self, now_ms: u64) -> impl Iterator<Item = &Told> {
-        self.daemons.values().filter(move |told| now_ms < told.at_ms + SILENT_MS)
+    fn current_records(&self, now_ms: u64) -> impl Iterator<Item = &DaemonRecord> {
+        self.daemons.values().filter(move |record| now_ms < record.at_ms + CURRENT_MS)
     }
 }
 
 impl Waiting {
-    /// What they wait for.
+    /// Returns what the requests wait for.
     pub fn loadable(&self) -> Loadable {
         Loadable { model: self.model.clone(), adapter: self.adapter.clone() }
     }
@@ -398,12 +404,12 @@
     }
 }
 
-/// Notes what arrived, or all that did until now where that was not told before.
-fn note_arrivals(rates: &mut Rates, digest: &DemandReport, has_remembered: bool, now_ms: u64) {
-    match &digest.past {
-        Some(past) if !has_remembered => rates.add_history(past, now_ms),
+/// Records the arrivals of a report, or all past ones if the sender had not reported them before.
+fn record_arrivals(rates: &mut Rates, report: &DemandReport, has_history: bool, now_ms: u64) {
+    match &report.past {
+        Some(past) if !has_history => rates.add_history(past, now_ms),
         _ => {
-            for (model, count) in &digest.arrivals {
+            for (model, count) in &report.arrivals {
                 rates.record_arrivals(model, *count, now_ms);
             }
         }
--- a/crates/trestle-dispatch/src/placing/eviction.rs
+++ b/crates/trestle-dispatch/src/placing/eviction.rs
@@ -1,94 +1,97 @@
-//! What makes way at an engine.
+//! Plans which models an engine evicts.
 
 use super::{EngineState, Planner};
 use crate::policy::Mechanism;
 use std::collections::{BTreeMap, BTreeSet};
 use trestle_core::names::{EndpointName, ModelName};
 
-/// Time for which a model stays once it has arrived, for those it was loaded for.
-const SETTLE_MS: u64 = 1_500;
+/// Time for which a loaded model is kept for the requests that it was loaded for.
+const MIN_RESIDENCE_MS: u64 = 1_500;
 
-/// Models that make way together.
+/// Models to evict together.
 pub(super) struct Eviction {
     pub(super) models: Vec<ModelName>,
-    /// What their going loses.
-    pub(super) miss_ms: f64,
-    /// Time until the last of their requests has ended.
+    /// Value lost by their eviction, as delay of callers.
+    pub(super) lost_ms: f64,
+    /// Time until the last of their running requests has ended.
     pub(super) run_wait_ms: f64,
 }
 
-/// What could make way at one engine, that which is missed least first.
+/// The models that one engine could evict, in the order of their cost.
 #[derive(Debug)]
-pub(super) struct Leavers {
+pub(super) struct EvictionCandidates {
     free_mb: u64,
-    models: Vec<Leaver>,
+    models: Vec<EvictionCandidate>,
 }
 
 #[derive(Debug)]
-struct Leaver {
+struct EvictionCandidate {
     model: ModelName,
     mb: u64,
-    miss_ms: f64,
+    lost_ms: f64,
     run_wait_ms: f64,
 }
 
-impl Leaver {
-    /// What its going counts, for each MB that it gives back: two small models are worth more
-    /// than one large one. Worth 0.011 of a played day's worth (24 seeds of a small fleet).
+impl EvictionCandidate {
+    /// Returns the cost of the eviction, per MB of freed memory if `is_by_size`: two small models
+    /// have more value than one large one. In simulated days of a small fleet (24 seeds) this
+    /// gained 0.011 of a day's value.
     fn cost(&self, is_by_size: bool) -> f64 {
-        let cost_ms = self.miss_ms + self.run_wait_ms;
+        let cost_ms = self.lost_ms + self.run_wait_ms;
         if is_by_size { cost_ms / self.mb.max(1) as f64 } else { cost_ms }
     }
 }
 
-impl Leavers {
-    /// The models whose going makes room and is missed least.
+impl EvictionCandidates {
+    /// Returns the cheapest eviction that frees enough memory; `None` if there is none.
     pub(super) fn make_room(&self, needed_mb: u64) -> Option<Eviction> {
         let mut free_mb = self.free_mb;
-        let mut eviction = Eviction { models: Vec::new(), miss_ms: 0.0, run_wait_ms: 0.0 };
-        for leaver in &self.models {
+        let mut eviction = Eviction { models: Vec::new(), lost_ms: 0.0, run_wait_ms: 0.0 };
+        for candidate in &self.models {
             if free_mb >= needed_mb {
                 break;
             }
-            free_mb += leaver.mb;
-            eviction.models.push(leaver.model.clone());
-            eviction.miss_ms += leaver.miss_ms;
-            eviction.run_wait_ms = eviction.run_wait_ms.max(leaver.run_wait_ms);
+            free_mb += candidate.mb;
+            eviction.models.push(candidate.model.clone());
+            eviction.lost_ms += candidate.lost_ms;
+            eviction.run_wait_ms = eviction.run_wait_ms.max(candidate.run_wait_ms);
         }
         (free_mb >= needed_mb).then_some(eviction)
     }
 }
 
 impl<'a> Planner<'a> {
-    /// What could make way, by engine.
-    pub(super) fn leavers(&self) -> BTreeMap<&'a EndpointName, Leavers> {
-        self.engines.iter().map(|(name, state)| (*name, self.leavers_at(state))).collect()
+    /// Returns what each engine could evict.
+    pub(super) fn candidates(&self) -> BTreeMap<&'a EndpointName, EvictionCandidates> {
+        self.engines.iter().map(|(name, state)| (*name, self.candidates_at(state))).collect()
     }
 
-    pub(super) fn leavers_at(&self, state: &EngineState<'_>) -> Leavers {
-        let leaver = |model: &ModelName| {
-            let (miss_ms, run_wait_ms) = self.loss(model, state)?;
-            Some(Leaver {
+    pub(super) fn candidates_at(&self, state: &EngineState<'_>) -> EvictionCandidates {
+        let candidate = |model: &ModelName| {
+            let (lost_ms, run_wait_ms) = self.loss(model, state)?;
+            Some(EvictionCandidate {
                 model: model.clone(),
                 mb: self.model_mb(model, state),
-                miss_ms,
+                lost_ms,
                 run_wait_ms,
             })
         };
-        let mut models: Vec<Leaver> = state.held.keys().filter_map(leaver).collect();
+        let mut models: Vec<EvictionCandidate> = state.held.keys().filter_map(candidate).collect();
         let is_by_size = self.policy.has(Mechanism::EvictionBySize);
         models.sort_by(|one, other| one.cost(is_by_size).total_cmp(&other.cost(is_by_size)));
         let free_mb = self.spec.memory_mb.saturating_sub(self.spec.held_mb(state.held));
-        Leavers { free_mb, models }
+        EvictionCandidates { free_mb, models }
     }
 
-    /// What the going of a model from an engine loses, and the time until its requests there
-    /// have ended; `None` if it must stay.
+    /// Returns the value lost by evicting a model from an engine, and the time until its running
+    /// requests there have ended; `None` if the model must stay.
     fn loss(&self, model: &ModelName, state: &EngineState<'_>) -> Option<(f64, f64)> {
-        let is_new =
-            state.arrived_ms.get(model).is_some_and(|at_ms| self.now_ms < at_ms + SETTLE_MS);
+        let is_new = state
+            .loaded_at_ms
+            .get(model)
+            .is_some_and(|at_ms| self.now_ms < at_ms + MIN_RESIDENCE_MS);
         let is_last = self.present(model) <= 1;
-        if is_last && (is_new || self.waited_for.contains(model)) {
+        if is_last && (is_new || self.models_in_demand.contains(model)) {
             return None;
         }
         let running = self.usage.of_model_at(&state.endpoint.name, model);
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -120,10 +120,10 @@
     });
     let engines = engines.collect();
     let mut sharing_leaders =
-        sharing::OtherLeaders { led: led.clone(), engines, ..Default::default() };
+        sharing::OtherLeaders { own_groups: led.clone(), engines, ..Default::default() };
     for other in others.reachable(now_ms) {
-        sharing_leaders.leaders += 1;
-        sharing_leaders.live.extend(other.led().iter().cloned());
+        sharing_leaders.other_leader_count += 1;
+        sharing_leaders.live_groups.extend(other.led().iter().cloned());
         sharing_leaders.planned.extend(other.planned(service).cloned());
         let Some(group) = other.led().first() else { continue };
         let loading = other.last_plan(service, now_ms).into_iter().flat_map(|(ready, _)| ready);
