--- a/crates/trestle-load/src/check.rs
+++ b/crates/trestle-load/src/check.rs
@@ -1,8 +1,8 @@
-//! Checking an answer against its request.
+//! Checks an answer against its request.
 
 use serde_json::Value;
 
-/// An answer as it came.
+/// A received answer.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) request_id: Option<String>,
@@ -13,7 +13,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// What a right answer must hold.
+/// The expected content of an answer.
 pub(crate) struct Expected<'a> {
     pub(crate) request_id: &'a str,
     pub(crate) text: &'a str,
@@ -21,61 +21,66 @@
     pub(crate) is_model: bool,
 }
 
-/// How a request ended.
+/// The result of checking the answer to a request.
 #[trestle_macros::key]
 pub(crate) enum Verdict {
-    /// With its own whole answer.
+    /// The answer is complete and belongs to the request.
     Done,
-    /// Not run, for the reason given.
+    /// The daemon reports that the request was not run, with an error code.
     NotRun(String),
-    /// Nobody can tell, for the reason given.
+    /// The daemon cannot tell whether the request ran, and gives an error code.
     Unknown(String),
-    /// With something that must never happen.
+    /// The answer breaks a rule that must always hold; the text says which.
     Violation(String),
-    /// With a connection that broke.
+    /// The connection failed, or no answer arrived in time; the text says why.
     Broken(String),
 }
 
-/// Checks an answer.
-pub(crate) fn verdict(answer: &Answer, expected: &Expected<'_>) -> Verdict {
+/// Checks an answer against the expected content.
+pub(crate) fn check_answer(answer: &Answer, expected: &Expected<'_>) -> Verdict {
     if answer.request_id.as_deref() != Some(expected.request_id) {
-        return Verdict::Violation("crossed: the answer has another request's id".to_owned());
+        return Verdict::Violation(
+            "crossed: the request id of the answer is missing or different".to_owned(),
+        );
     }
     match answer.outcome.as_deref() {
-        Some("done") if answer.status == 200 => whole(answer, expected),
-        Some("not_run") => refusal(answer).map_or_else(Verdict::Violation, Verdict::NotRun),
-        Some("unknown") => refusal(answer).map_or_else(Verdict::Violation, Verdict::Unknown),
-        _ => Verdict::Violation(format!("no outcome in an answer with status {}", answer.status)),
+        Some("done") if answer.status == 200 => check_content(answer, expected),
+        Some("not_run") => error_code(answer).map_or_else(Verdict::Violation, Verdict::NotRun),
+        Some("unknown") => error_code(answer).map_or_else(Verdict::Violation, Verdict::Unknown),
+        _ => Verdict::Violation(format!(
+            "the answer with status {} has no valid outcome header",
+            answer.status
+        )),
     }
 }
 
-fn refusal(answer: &Answer) -> Result<String, String> {
+fn error_code(answer: &Answer) -> Result<String, String> {
     let body: Value = serde_json::from_slice(&answer.body).map_err(|error| error.to_string())?;
-    let code = body["error"]["code"].as_str().ok_or("a refusal without a code")?;
-    let is_overload = matches!(answer.status, 429 | 503);
-    if is_overload && answer.retry_after.is_none() {
-        return Err(format!("refusal {code} without a time to come back"));
+    let code = body["error"]["code"].as_str().ok_or("an error answer has no error code")?;
+    let needs_retry_after = matches!(answer.status, 429 | 503);
+    if needs_retry_after && answer.retry_after.is_none() {
+        return Err(format!("the error answer {code} has no retry-after header"));
     }
     Ok(code.to_owned())
 }
 
-fn whole(answer: &Answer, expected: &Expected<'_>) -> Verdict {
+fn check_content(answer: &Answer, expected: &Expected<'_>) -> Verdict {
     let text = if expected.is_stream {
         match streamed_text(&answer.body, expected.request_id) {
             Ok(text) => text,
-            Err(Cut::Told) => return Verdict::Unknown("answer_cut".to_owned()),
-            Err(Cut::Silent(message)) => return Verdict::Violation(message),
+            Err(StreamError::Reported) => return Verdict::Unknown("answer_cut".to_owned()),
+            Err(StreamError::Unreported(message)) => return Verdict::Violation(message),
         }
     } else {
         match serde_json::from_slice::<Value>(&answer.body) {
             Ok(body) => text_of(&body, expected.is_model),
-            Err(_) => return Verdict::Violation("cut: the answer is not whole".to_owned()),
+            Err(_) => return Verdict::Violation("cut: the answer is not complete JSON".to_owned()),
         }
     };
     if text == expected.text {
         return Verdict::Done;
     }
-    Verdict::Violation(format!("crossed: `{text}` came where `{}` is right", expected.text))
+    Verdict::Violation(format!("crossed: expected the text `{}`, found `{text}`", expected.text))
 }
 
 fn text_of(body: &Value, is_model: bool) -> String {
@@ -83,30 +88,33 @@
     text.as_str().unwrap_or("").to_owned()
 }
 
-enum Cut {
-    /// The daemon said that the answer is not whole.
-    Told,
-    /// The answer just ended, or holds something foreign.
-    Silent(String),
+/// Why a stream is not a complete answer.
+enum StreamError {
+    /// The daemon reported with an error event that the answer is incomplete.
+    Reported,
+    /// The answer ends early or holds an invalid event, and the daemon did not report it.
+    Unreported(String),
 }
 
-fn streamed_text(body: &[u8], request_id: &str) -> Result<String, Cut> {
+fn streamed_text(body: &[u8], request_id: &str) -> Result<String, StreamError> {
     let mut text = String::new();
     for event in String::from_utf8_lossy(body).split("\n\n") {
         if event.starts_with("event: error") {
-            return Err(Cut::Told);
+            return Err(StreamError::Reported);
         }
         let Some(data) = event.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
             return Ok(text);
         }
         let Ok(content) = serde_json::from_str::<Value>(data) else {
-            return Err(Cut::Silent("cut: an event is not whole".to_owned()));
+            return Err(StreamError::Unreported("cut: an event is not complete JSON".to_owned()));
         };
         if content["id"].as_str() != Some(request_id) {
-            return Err(Cut::Silent("crossed: an event has another request's id".to_owned()));
+            return Err(StreamError::Unreported(
+                "crossed: the id of an event is missing or different".to_owned(),
+            ));
         }
         text.push_str(content["choices"][0]["delta"]["content"].as_str().unwrap_or(""));
     }
-    Err(Cut::Silent("cut: the stream ended without its last event".to_owned()))
+    Err(StreamError::Unreported("cut: the stream ended without its `[DONE]` event".to_owned()))
 }
--- a/crates/trestle-load/src/error.rs
+++ b/crates/trestle-load/src/error.rs
@@ -3,10 +3,10 @@
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// The result of preparing a run.
+/// The result of a step of preparing a run.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// A run cannot begin.
+/// Why a run cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
--- a/crates/trestle-load/src/main.rs
+++ b/crates/trestle-load/src/main.rs
@@ -1,8 +1,9 @@
-//! Sends bursts of requests, and checks every answer against its request.
+//! Load tool: sends bursts of requests and checks every answer against its request.
 //!
-//! A plan names the daemons and the streams of requests. Each request carries
-//! an id and a text of its own, and its answer must carry both back, whole and
-//! by the deadline. What does not is a violation, and the program then fails.
+//! A plan names the daemons and the streams of requests. Each request carries a
+//! unique id and a unique text, and its answer must return both completely and by
+//! the deadline. An answer that does not is a violation, and the program then
+//! exits with an error.
 
 mod args;
 mod check;
@@ -25,7 +26,7 @@
     }
 }
 
-/// Runs the plan; tells whether every answer was right.
+/// Runs the plan; returns whether it ended without violations.
 async fn run() -> Result<bool> {
     let Some(args) = Args::from_env()? else { return Ok(true) };
     let plan = Plan::read(&args.plan_path)?;
--- a/crates/trestle-load/src/plan.rs
+++ b/crates/trestle-load/src/plan.rs
@@ -1,76 +1,76 @@
-//! What to send.
+//! The plan: which requests to send, where and when.
 
 use crate::error::{PlanSnafu, ReadSnafu, Result};
 use snafu::ResultExt;
 use std::{fs, path::Path};
 
-/// What to send.
+/// A plan: the requests to send, and the daemons that receive them.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Plan {
-    /// Daemons, as `ip:port`; requests go to one after the other.
+    /// Addresses of daemons, as `ip:port`; the requests of a stream go to them in rotation.
     pub(crate) targets: Vec<String>,
-    /// Streams of requests, sent at the same time.
+    /// Streams of requests, sent concurrently.
     pub(crate) streams: Vec<Stream>,
 }
 
-/// One stream of requests.
+/// A number of similar requests of one caller.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Stream {
-    /// The caller's tenant, for the report.
+    /// Name of the caller's tenant; used for the report alone.
     pub(crate) tenant: String,
-    /// The caller's token.
+    /// Token that authorizes the requests.
     pub(crate) token: String,
-    /// The class to name.
+    /// Class that the requests name.
     pub(crate) class: String,
-    /// Requests to send.
+    /// Number of requests to send.
     pub(crate) requests: usize,
-    /// Time before the first of them.
+    /// Time from the start of the run to the first request.
     #[serde(default)]
     pub(crate) start_ms: u64,
-    /// Time over which they are spread; 0 sends all at once.
+    /// Time over which the requests are spread evenly; 0 sends all at once.
     pub(crate) over_ms: u64,
-    /// Time until each answer is due.
+    /// Time within which each request must be answered.
     pub(crate) deadline_ms: u64,
-    /// Whether answers are only timed, as those of an engine that is asked directly.
+    /// Whether answers are timed but not checked; needed for engines, which send no outcome header.
     #[serde(default)]
     pub(crate) unchecked: bool,
-    /// What each request is for.
+    /// What the requests call.
     pub(crate) work: Work,
 }
 
-/// What requests are for.
+/// What the requests of a stream call.
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub(crate) enum Work {
-    /// Completions.
+    /// Completions of models.
     Models {
-        /// Models or adapters, one after the other.
+        /// Models or adapters, requested in rotation.
         names: Vec<String>,
-        /// Whether answers come in parts.
+        /// Whether answers are streamed.
         stream: bool,
     },
-    /// Calls of a plain service that may not be repeated.
+    /// Calls of a plain service that must run at most once.
     Calls {
-        /// Path at the daemon.
+        /// Path of the request at the daemon.
         path: String,
         /// Header that carries the idempotency key.
         key_header: String,
-        /// Prefix of the keys; each request adds its number.
+        /// Prefix of the idempotency keys; the number of the request follows.
         key_prefix: String,
-        /// Times to ask again with the same key where the outcome is unknown.
+        /// Maximum number of retries with the same key while the outcome is unknown.
         ask_again: u32,
     },
-    /// Reads of a plain service.
+    /// Reads of a plain service, which may be repeated.
     Reads {
-        /// Path at the daemon.
+        /// Path of the request at the daemon.
         path: String,
     },
 }
 
 impl Plan {
-    /// Reads a plan.
+    /// Reads a plan from a file; fails if the file cannot be read or is not a valid plan.
     pub(crate) fn read(path: &Path) -> Result<Self> {
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
         trestle_config::read_jsonc(&text, &path.display().to_string()).context(PlanSnafu)
--- a/crates/trestle-load/src/report.rs
+++ b/crates/trestle-load/src/report.rs
@@ -1,15 +1,15 @@
-//! What a run has led to.
+//! The report of a run.
 
-use crate::{check::Verdict, plan::Stream, send::Ended};
+use crate::{check::Verdict, plan::Stream, send::RequestResult};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, fmt::Write, time::Duration};
 
-/// Significant digits of the histograms.
+/// Significant decimal digits of the histograms.
 const DIGITS: u8 = 3;
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99)];
 
-/// What a run has led to.
+/// The results of a run.
 #[derive(Default)]
 pub(crate) struct Report {
     pub(crate) took: Duration,
@@ -17,7 +17,7 @@
     groups: BTreeMap<(String, String), Group>,
 }
 
-/// Requests of one tenant and class.
+/// Results of the requests of one tenant and class.
 struct Group {
     verdicts: BTreeMap<String, u64>,
     done_us: Histogram<u64>,
@@ -38,11 +38,11 @@
 }
 
 impl Report {
-    /// Adds one request.
-    pub(crate) fn add(&mut self, stream: &Stream, ended: &Ended) {
+    /// Adds the result of one request.
+    pub(crate) fn add(&mut self, stream: &Stream, result: &RequestResult) {
         let key = (stream.tenant.clone(), stream.class.clone());
         let group = self.groups.entry(key).or_insert_with(Group::new);
-        let name = match &ended.verdict {
+        let name = match &result.verdict {
             Verdict::Done => "done".to_owned(),
             Verdict::NotRun(code) => format!("not_run:{code}"),
             Verdict::Unknown(code) => format!("unknown:{code}"),
@@ -50,8 +50,8 @@
             Verdict::Broken(_) => "broken".to_owned(),
         };
         *group.verdicts.entry(name).or_default() += 1;
-        let took_us = ended.took.as_micros() as u64;
-        match &ended.verdict {
+        let took_us = result.took.as_micros() as u64;
+        match &result.verdict {
             Verdict::Done => record(&mut group.done_us, took_us),
             Verdict::NotRun(_) => record(&mut group.refused_us, took_us),
             Verdict::Violation(text) | Verdict::Broken(text) => {
@@ -59,12 +59,12 @@
             }
             Verdict::Unknown(_) => {}
         }
-        if let Some(wait_ms) = ended.cold_wait_ms {
+        if let Some(wait_ms) = result.cold_wait_ms {
             record(&mut group.cold_wait_ms, wait_ms);
         }
     }
 
-    /// The report for programs.
+    /// Returns the report as JSON.
     pub(crate) fn to_json(&self) -> Value {
         let groups: Vec<Value> = self
             .groups
@@ -85,7 +85,7 @@
         json!({"took_ms": took_ms, "groups": groups, "violations": self.violations})
     }
 
-    /// The report for people.
+    /// Returns the report as text, with at most ten violations.
     pub(crate) fn to_text(&self) -> String {
         let mut text = String::new();
         for ((tenant, class), group) in &self.groups {
@@ -105,9 +105,9 @@
     }
 }
 
-/// Records a value; the histogram grows as needed.
+/// Records a value; the histogram resizes as needed.
 fn record(histogram: &mut Histogram<u64>, value: u64) {
-    // Growing fails only for values past any time that a run can take.
+    // Recording fails only for values far beyond the duration of any run.
     let _ = histogram.record(value);
 }
 
@@ -118,14 +118,14 @@
     Value::Object(values.chain([("max".to_owned(), histogram.max().into())]).collect())
 }
 
-fn write_quantiles(text: &mut String, name: &str, histogram: &Histogram<u64>, unit: f64) {
+fn write_quantiles(text: &mut String, name: &str, histogram: &Histogram<u64>, divisor: f64) {
     if histogram.is_empty() {
         return;
     }
     let values = QUANTILES.iter().map(|(label, quantile)| {
-        format!("{label} {:.1}", histogram.value_at_quantile(*quantile) as f64 / unit)
+        format!("{label} {:.1}", histogram.value_at_quantile(*quantile) as f64 / divisor)
     });
     let values: Vec<String> = values.collect();
-    let max = histogram.max() as f64 / unit;
+    let max = histogram.max() as f64 / divisor;
     let _ = writeln!(text, "  {name}: {}, max {max:.1} ({})", values.join(", "), histogram.len());
 }
--- a/crates/trestle-load/src/send.rs
+++ b/crates/trestle-load/src/send.rs
@@ -1,4 +1,4 @@
-//! Sending the requests of a plan.
+//! Sends the requests of a plan.
 
 use crate::{
     check::{self, Answer, Expected, Verdict},
@@ -16,21 +16,21 @@
 use trillium_client::{Client, Conn};
 use trillium_smol::ClientConfig;
 
-/// Time past its deadline after which an answer counts as late.
+/// Time after the deadline from which an answer is a violation.
 const LATE_GRACE: Duration = Duration::from_millis(500);
-/// Time past its deadline after which an answer counts as missing.
+/// Time after the deadline from which an answer is missing; the request is then abandoned.
 const MISSING_AFTER: Duration = Duration::from_secs(10);
-/// Time between two asks with the same key.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before a retry with the same idempotency key.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How one request ended.
-pub(crate) struct Ended {
+/// The result of one request.
+pub(crate) struct RequestResult {
     pub(crate) verdict: Verdict,
     pub(crate) took: Duration,
     pub(crate) cold_wait_ms: Option<u64>,
 }
 
-/// Sends everything and waits for every answer.
+/// Sends all requests of a plan and waits for every answer.
 pub(crate) async fn run(plan: &Plan) -> Report {
     let client = Client::new(ClientConfig::default().with_nodelay(true)).with_default_pool();
     let started = Instant::now();
@@ -43,64 +43,70 @@
             let stream = Arc::clone(&stream);
             let target = plan.targets[index % plan.targets.len()].clone();
             let id = format!("{run_id:08x}-{stream_index}-{index}");
-            let at = started + start_of(&stream, index);
+            let at = started + start_offset(&stream, index);
             let task = async move {
                 Timer::at(at).await;
-                let ended = request(&client, &target, &stream, index, &id).await;
-                (stream, ended)
+                let result = send_with_retries(&client, &target, &stream, index, &id).await;
+                (stream, result)
             };
             tasks.push(smol::spawn(task));
         }
     }
     let mut report = Report::default();
     for task in tasks {
-        let (stream, ended) = task.await;
-        report.add(&stream, &ended);
+        let (stream, result) = task.await;
+        report.add(&stream, &result);
     }
     report.took = started.elapsed();
     report
 }
 
-fn start_of(stream: &Stream, index: usize) -> Duration {
+fn start_offset(stream: &Stream, index: usize) -> Duration {
     let share = index as f64 / stream.requests.max(1) as f64;
     let start = Duration::from_millis(stream.start_ms);
     start + Duration::from_millis(stream.over_ms).mul_f64(share)
 }
 
-async fn request(client: &Client, target: &str, stream: &Stream, index: usize, id: &str) -> Ended {
-    let mut ended = request_once(client, target, stream, index, id, false).await;
+async fn send_with_retries(
+    client: &Client,
+    target: &str,
+    stream: &Stream,
+    index: usize,
+    id: &str,
+) -> RequestResult {
+    let mut result = send_once(client, target, stream, index, id, false).await;
     if let Work::Calls { ask_again, .. } = &stream.work {
         for _ in 0..*ask_again {
-            if !matches!(ended.verdict, Verdict::Unknown(_) | Verdict::Broken(_)) {
+            if !matches!(result.verdict, Verdict::Unknown(_) | Verdict::Broken(_)) {
                 break;
             }
-            Timer::after(ASK_AGAIN).await;
-            ended = request_once(client, target, stream, index, id, true).await;
+            Timer::after(RETRY_DELAY).await;
+            result = send_once(client, target, stream, index, id, true).await;
         }
     }
-    ended
+    result
 }
 
-async fn request_once(
+async fn send_once(
     client: &Client,
     target: &str,
     stream: &Stream,
     index: usize,
     id: &str,
-    is_repeated: bool,
-) -> Ended {
+    is_retry: bool,
+) -> RequestResult {
     let text = format!("text of {id}");
-    let mut conn = prepare(client, target, stream, index, id, &text);
-    if is_repeated {
+    let mut conn = prepare_request(client, target, stream, index, id, &text);
+    if is_retry {
         conn = conn.with_request_header(headers::REPEATED, "true");
     }
     let deadline = Duration::from_millis(stream.deadline_ms);
     let started = Instant::now();
-    let missing = async {
+    let time_limit = async {
         Timer::after(deadline + MISSING_AFTER).await;
-        Err("no answer".to_owned())
+        Err("no answer arrived in time".to_owned())
     };
-    let answered = exchange(conn).or(missing).await;
+    let received = exchange(conn).or(time_limit).await;
     let took = started.elapsed();
     let (is_stream, is_model) = match &stream.work {
         Work::Models { stream, .. } => (*stream, true),
@@ -108,21 +114,26 @@
     };
     let text = if matches!(stream.work, Work::Reads { .. }) { "" } else { &text };
     let expected = Expected { request_id: id, text, is_stream, is_model };
-    match answered {
-        Err(message) => Ended { verdict: Verdict::Broken(message), took, cold_wait_ms: None },
+    match received {
+        Err(message) => {
+            RequestResult { verdict: Verdict::Broken(message), took, cold_wait_ms: None }
+        }
         Ok(answer) => {
-            let mut verdict =
-                if stream.unchecked { Verdict::Done } else { check::verdict(&answer, &expected) };
+            let mut verdict = if stream.unchecked {
+                Verdict::Done
+            } else {
+                check::check_answer(&answer, &expected)
+            };
             if took > deadline + LATE_GRACE && !matches!(verdict, Verdict::Violation(_)) {
                 verdict = Verdict::Violation(format!("late: {} ms", took.as_millis()));
             }
             let cold_wait_ms = answer.cold.then_some(answer.waited_ms);
-            Ended { verdict, took, cold_wait_ms }
+            RequestResult { verdict, took, cold_wait_ms }
         }
     }
 }
 
-fn prepare(
+fn prepare_request(
     client: &Client,
     target: &str,
     stream: &Stream,
--- a/crates/trestle-standin/src/args.rs
+++ b/crates/trestle-standin/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-in.
+//! Command-line arguments of the stand-in.
 
 use crate::error::{ArgsSnafu, ConfigSnafu, ReadSnafu, Result};
 use snafu::ResultExt;
@@ -6,22 +6,22 @@
 use trestle_config::Config;
 
 const HELP: &str = "\
-trestle-standin: stand-ins for engines, plain services and the platform
+trestle-standin: simulates engines, plain services and the platform
 
 USAGE:
     trestle-standin --config FILE --platform IP:PORT --control IP:PORT [OPTIONS]
 
 OPTIONS:
-    --config FILE          the configuration whose endpoints to stand in for
-    --platform IP:PORT     an address of the platform; may stand several times
-    --control IP:PORT      where faults are switched and counts are read
+    --config FILE          the configuration whose endpoints are simulated
+    --platform IP:PORT     an address of the platform; may be given several times
+    --control IP:PORT      the address where faults are set and counts are read
     --speed FACTOR         divide load and service times by this [default: 1]
-    --loads-per-s N        loads the weight store starts in a second [default: 3]
-    --full-speed-loads N   loads that run at full speed at once [default: 4]
-    --help                 print this
+    --loads-per-s N        loads that the weight store starts per second [default: 3]
+    --full-speed-loads N   concurrent loads that run at full speed [default: 4]
+    --help                 print this help
 ";
 
-/// The command line of the stand-in.
+/// Command-line arguments of the stand-in.
 pub(crate) struct Args {
     pub(crate) config_path: PathBuf,
     pub(crate) platform_addresses: Vec<SocketAddr>,
@@ -32,7 +32,7 @@
 }
 
 impl Args {
-    /// Reads the command line; `None` if only help was asked for.
+    /// Parses the arguments of the process; returns `None` after printing the help for `--help`.
     pub(crate) fn from_env() -> Result<Option<Self>> {
         let mut args = pico_args::Arguments::from_env();
         if args.contains("--help") {
@@ -56,7 +56,7 @@
         Ok(Some(parsed))
     }
 
-    /// The configuration that the file holds.
+    /// Reads the configuration file and parses it.
     pub(crate) fn config(&self) -> Result<Config> {
         let path = &self.config_path;
         let text = fs::read_to_string(path).context(ReadSnafu { path })?;
--- a/crates/trestle-standin/src/control.rs
+++ b/crates/trestle-standin/src/control.rs
@@ -1,44 +1,52 @@
-//! Faults, counts and breaches over HTTP.
+//! HTTP interface of the control address: sets faults, and serves counts and breaches.
 
 use crate::{
     faults::Faults,
-    http::{body_of, json},
-    world::World,
+    http::{json_response, read_json},
+    simulation::Simulation,
 };
 use serde_json::json;
 use std::{collections::BTreeMap, sync::Arc};
 use trestle_wire::table::WireVmState;
 use trillium::{Conn, Method, Status};
 
-pub(crate) async fn handle(world: Arc<World>, mut conn: Conn) -> Conn {
+pub(crate) async fn handle(simulation: Arc<Simulation>, mut conn: Conn) -> Conn {
     match (conn.method(), conn.path()) {
-        (Method::Get, "/breaches") => json(conn, Status::Ok, &world.lock().breaches),
-        (Method::Get, "/counts") => json(conn, Status::Ok, &world.lock().counts),
-        (Method::Get, "/keys") => json(conn, Status::Ok, &world.lock().runs_by_key),
-        (Method::Get, "/faults") => json(conn, Status::Ok, &world.lock().faults),
-        (Method::Post, "/faults") => match body_of::<Faults>(&mut conn).await {
+        (Method::Get, "/breaches") => json_response(conn, Status::Ok, &simulation.lock().breaches),
+        (Method::Get, "/counts") => json_response(conn, Status::Ok, &simulation.lock().counts),
+        (Method::Get, "/keys") => json_response(conn, Status::Ok, &simulation.lock().runs_by_key),
+        (Method::Get, "/faults") => json_response(conn, Status::Ok, &simulation.lock().faults),
+        (Method::Post, "/faults") => match read_json::<Faults>(&mut conn).await {
             Some(faults) => {
-                world.lock().faults = faults;
-                json(conn, Status::Ok, &json!({}))
+                simulation.lock().faults = faults;
+                json_response(conn, Status::Ok, &json!({}))
             }
-            None => json(conn, Status::BadRequest, &json!({"error": "not a set of faults"})),
+            None => json_response(
+                conn,
+                Status::BadRequest,
+                &json!({"error": "the request body is not a JSON object of known faults"}),
+            ),
         },
         (Method::Post, "/vms") => {
-            match body_of::<BTreeMap<String, Option<WireVmState>>>(&mut conn).await {
+            match read_json::<BTreeMap<String, Option<WireVmState>>>(&mut conn).await {
                 Some(changes) => {
-                    set_vms(&world, &changes);
-                    json(conn, Status::Ok, &json!({}))
+                    update_vms(&simulation, &changes);
+                    json_response(conn, Status::Ok, &json!({}))
                 }
-                None => json(conn, Status::BadRequest, &json!({"error": "not states of VMs"})),
+                None => json_response(
+                    conn,
+                    Status::BadRequest,
+                    &json!({"error": "the request body is not a JSON object from VM names to states"}),
+                ),
             }
         }
         _ => conn.with_status(Status::NotFound).halt(),
     }
 }
 
-fn set_vms(world: &World, changes: &BTreeMap<String, Option<WireVmState>>) {
-    let now_ms = world.now_ms();
-    let mut state = world.lock();
+fn update_vms(simulation: &Simulation, changes: &BTreeMap<String, Option<WireVmState>>) {
+    let now_ms = simulation.now_ms();
+    let mut state = simulation.lock();
     for (name, vm) in changes {
         state.set_vm(name, *vm, now_ms);
     }
--- a/crates/trestle-standin/src/engine_http.rs
+++ b/crates/trestle-standin/src/engine_http.rs
@@ -1,10 +1,10 @@
-//! An engine over HTTP.
+//! HTTP interface of one simulated engine: orders and completions.
 
 use crate::{
-    engine::{Carried, Started},
-    faults::{EngineFaults, take_one},
-    http::{body_of, json, sleep_ms},
-    world::World,
+    engine::{OrderOutcome, StartedChange},
+    faults::{EngineFaults, consume_one},
+    http::{json_response, read_json, sleep_ms},
+    simulation::Simulation,
 };
 use futures_lite::{AsyncRead, io::Cursor};
 use serde_json::{Value, json};
@@ -21,75 +21,79 @@
 };
 use trillium::{Body, Conn, Method, Status};
 
-/// Time that unloading a model takes.
+/// Time that unloading a model takes, at speed 1.
 const UNLOAD_MS: u64 = 200;
-/// Time between two looks whether an engine is still frozen.
-const FROZEN_MS: u64 = 50;
-/// Characters of a prompt that the answer repeats.
-const ECHO_CHARS: usize = 64;
+/// Interval between checks of whether an engine is still frozen.
+const FROZEN_POLL_MS: u64 = 50;
+/// Characters of the prompt that the answer echoes.
+const MAX_ECHO_CHARS: usize = 64;
 
-pub(crate) async fn handle(world: Arc<World>, name: EndpointName, conn: Conn) -> Conn {
-    while faults(&world, &name).frozen {
-        sleep_ms(FROZEN_MS).await;
+pub(crate) async fn handle(simulation: Arc<Simulation>, name: EndpointName, conn: Conn) -> Conn {
+    while faults(&simulation, &name).frozen {
+        sleep_ms(FROZEN_POLL_MS).await;
     }
     match (conn.method(), conn.path()) {
-        (Method::Post, "/orders") => order(world, name, conn).await,
+        (Method::Post, "/orders") => order(simulation, name, conn).await,
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
-            complete(world, name, conn).await
+            handle_completion(simulation, name, conn).await
         }
         _ => conn.with_status(Status::NotFound).halt(),
     }
 }
 
-fn faults(world: &World, name: &EndpointName) -> EngineFaults {
-    world.lock().faults.engines.get(name.as_str()).cloned().unwrap_or_default()
+fn faults(simulation: &Simulation, name: &EndpointName) -> EngineFaults {
+    simulation.lock().faults.engines.get(name.as_str()).cloned().unwrap_or_default()
 }
 
-async fn order(world: Arc<World>, name: EndpointName, mut conn: Conn) -> Conn {
-    let Some(order) = body_of::<WireOrder>(&mut conn).await else {
+async fn order(simulation: Arc<Simulation>, name: EndpointName, mut conn: Conn) -> Conn {
+    let Some(order) = read_json::<WireOrder>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
-    let carried = carry_out(&world, &name, order);
-    if let Some(started) = carried.started {
-        smol::spawn(go_on(Arc::clone(&world), name.clone(), started)).detach();
+    let outcome = execute_order(&simulation, &name, order);
+    if let Some(started_change) = outcome.started_change {
+        smol::spawn(finish_change(Arc::clone(&simulation), name.clone(), started_change)).detach();
     }
-    sleep_ms(faults(&world, &name).order_slow_ms).await;
-    json(conn, Status::Ok, &carried.answer)
+    sleep_ms(faults(&simulation, &name).order_slow_ms).await;
+    json_response(conn, Status::Ok, &outcome.answer)
 }
 
-fn carry_out(world: &World, name: &EndpointName, order: WireOrder) -> Carried {
-    let now_ms = world.now_ms();
+fn execute_order(simulation: &Simulation, name: &EndpointName, order: WireOrder) -> OrderOutcome {
+    let now_ms = simulation.now_ms();
     let loaded = match &order.kind {
         WireOrderKind::Load { model, .. } => Some(ModelName::from(model.as_str())),
         _ => None,
     };
-    let mut state = world.lock();
+    let mut state = simulation.lock();
     state.counts.orders += 1;
     let Some(engine) = state.engines.get_mut(name) else { unreachable!("engines are fixed") };
-    let carried = engine.carry_out(order);
-    if matches!(carried.answer, trestle_wire::order::WireOrderAnswer::Refused { .. }) {
+    let outcome = engine.execute_order(order);
+    if matches!(outcome.answer, trestle_wire::order::WireOrderAnswer::Refused { .. }) {
         state.counts.refused_orders += 1;
     }
-    if let Some(breach) = &carried.breach {
-        state.breach(format!("{name}: {breach}"));
+    if let Some(breach) = &outcome.breach {
+        state.record_breach(format!("{name}: {breach}"));
     }
-    if let (Some(model), Some(Started::Load(_))) = (loaded, &carried.started) {
-        state.check_leaving(name, "load", now_ms);
+    if let (Some(model), Some(StartedChange::Load(_))) = (loaded, &outcome.started_change) {
+        state.check_draining(name, "load", now_ms);
         *state.counts.loads.entry(model.to_string()).or_default() += 1;
         state.counts.load_order.push(model.to_string());
-        let max_replicas = world.models.get(&model).map_or(0, |spec| spec.max_replicas);
+        let max_replicas = simulation.models.get(&model).map_or(0, |spec| spec.max_replicas);
         state.check_replicas(&model, max_replicas);
     }
-    carried
+    outcome
 }
 
-async fn go_on(world: Arc<World>, name: EndpointName, started: Started) {
-    match started {
-        Started::Load(model) => {
-            let load_ms = world.models.get(&model).map_or(0, |spec| spec.load_ms);
-            let slower = world.lock().faults.weights_slower.unwrap_or(1.0);
-            world.weights.load(world.scaled_ms(load_ms), slower).await;
-            let mut state = world.lock();
+async fn finish_change(
+    simulation: Arc<Simulation>,
+    name: EndpointName,
+    started_change: StartedChange,
+) {
+    match started_change {
+        StartedChange::Load(model) => {
+            let load_ms = simulation.models.get(&model).map_or(0, |spec| spec.load_ms);
+            let slowdown = simulation.lock().faults.weights_slower.unwrap_or(1.0);
+            simulation.weight_store.load(simulation.scaled_ms(load_ms), slowdown).await;
+            let mut state = simulation.lock();
             let engine = state.engines.get_mut(&name);
             if let Some(engine) = engine
                 && let Some(model) = engine.models.get_mut(&model)
@@ -97,9 +101,9 @@
                 model.phase = WirePhase::Ready;
             }
         }
-        Started::Unload(model) => {
-            sleep_ms(world.scaled_ms(UNLOAD_MS)).await;
-            let mut state = world.lock();
+        StartedChange::Unload(model) => {
+            sleep_ms(simulation.scaled_ms(UNLOAD_MS)).await;
+            let mut state = simulation.lock();
             state.counts.unloads += 1;
             if let Some(engine) = state.engines.get_mut(&name) {
                 engine.models.remove(&model);
@@ -108,17 +112,17 @@
     }
 }
 
-/// A request that takes one of the engine's slots until it is dropped.
-struct Running {
-    world: Arc<World>,
+/// A running request, counted at its model until this guard is dropped.
+struct RunningRequest {
+    simulation: Arc<Simulation>,
     name: EndpointName,
     model: ModelName,
 }
 
-impl Running {
-    fn start(world: &Arc<World>, name: &EndpointName, model: &ModelName) -> Option<Self> {
-        let now_ms = world.now_ms();
-        let mut state = world.lock();
+impl RunningRequest {
+    fn start(simulation: &Arc<Simulation>, name: &EndpointName, model: &ModelName) -> Option<Self> {
+        let now_ms = simulation.now_ms();
+        let mut state = simulation.lock();
         let engine = state.engines.get_mut(name)?;
         let loaded = engine.models.get_mut(model)?;
         if loaded.phase != WirePhase::Ready {
@@ -126,14 +130,14 @@
         }
         loaded.running += 1;
         state.counts.engine_runs += 1;
-        state.check_leaving(name, "request", now_ms);
-        Some(Self { world: Arc::clone(world), name: name.clone(), model: model.clone() })
+        state.check_draining(name, "request", now_ms);
+        Some(Self { simulation: Arc::clone(simulation), name: name.clone(), model: model.clone() })
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
-        let mut state = self.world.lock();
+        let mut state = self.simulation.lock();
         let engine = state.engines.get_mut(&self.name);
         if let Some(loaded) = engine.and_then(|engine| engine.models.get_mut(&self.model)) {
             loaded.running = loaded.running.saturating_sub(1);
@@ -141,32 +145,40 @@
     }
 }
 
-async fn complete(world: Arc<World>, name: EndpointName, mut conn: Conn) -> Conn {
+async fn handle_completion(
+    simulation: Arc<Simulation>,
+    name: EndpointName,
+    mut conn: Conn,
+) -> Conn {
     let request_id = conn.request_headers().get_str(headers::REQUEST_ID).unwrap_or("").to_owned();
-    let Some(body) = body_of::<Value>(&mut conn).await else {
+    let Some(body) = read_json::<Value>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
     let model = ModelName::from(body["model"].as_str().unwrap_or(""));
-    let Some(running) = Running::start(&world, &name, &model) else {
-        return json(conn, Status::Conflict, &json!({"error": {"code": "model_not_loaded"}}));
+    let Some(running) = RunningRequest::start(&simulation, &name, &model) else {
+        return json_response(
+            conn,
+            Status::Conflict,
+            &json!({"error": {"code": "model_not_loaded"}}),
+        );
     };
-    let (cut, crossed, failed) = take_faults(&world, &name);
-    if failed {
+    let (cut, cross, fail) = consume_faults(&simulation, &name);
+    if fail {
         return conn.with_status(Status::InternalServerError).halt();
     }
-    let service_ms = world.models.get(&model).map_or(0, |spec| spec.service_ms);
-    let service_ms = world.scaled_ms(service_ms * sharing(&world, &name));
-    let answer_id = if crossed { "another-request" } else { &request_id };
+    let service_ms = simulation.models.get(&model).map_or(0, |spec| spec.service_ms);
+    let service_ms = simulation.scaled_ms(service_ms * requests_per_slot(&simulation, &name));
+    let answer_id = if cross { "another-request" } else { &request_id };
     let conn = conn.with_response_header(headers::REQUEST_ID, answer_id.to_owned());
-    let text = if crossed { "another text".to_owned() } else { echo_of(&body) };
+    let text = if cross { "another text".to_owned() } else { echoed_prompt(&body) };
     if body["stream"].as_bool() == Some(true) {
-        return stream(conn, running, &model, answer_id, &text, service_ms, cut);
+        return stream_response(conn, running, &model, answer_id, &text, service_ms, cut);
     }
     sleep_ms(service_ms).await;
     drop(running);
-    let mut answer = completion(&model, answer_id, &text).to_string();
+    let mut answer = completion_body(&model, answer_id, &text).to_string();
     if cut {
-        // The length promises more than the body holds, as when a connection breaks.
+        // The body is shorter than its announced length, as after a connection loss.
         let length = answer.len() as u64;
         answer.truncate(answer.len() / 2);
         let body = Body::new_streaming(Cursor::new(answer.into_bytes()), Some(length));
@@ -175,31 +187,32 @@
     conn.with_response_header("content-type", "application/json").ok(answer)
 }
 
-fn take_faults(world: &World, name: &EndpointName) -> (bool, bool, bool) {
-    let mut state = world.lock();
+fn consume_faults(simulation: &Simulation, name: &EndpointName) -> (bool, bool, bool) {
+    let mut state = simulation.lock();
     let Some(faults) = state.faults.engines.get_mut(name.as_str()) else {
         return (false, false, false);
     };
-    let cut = take_one(&mut faults.cut_answers);
-    let crossed = take_one(&mut faults.cross_answers);
-    (cut, crossed, take_one(&mut faults.fail_answers))
+    let cut = consume_one(&mut faults.cut_answers);
+    let cross = consume_one(&mut faults.cross_answers);
+    (cut, cross, consume_one(&mut faults.fail_answers))
 }
 
-/// How many requests share each of the engine's slots.
-fn sharing(world: &World, name: &EndpointName) -> u64 {
-    let state = world.lock();
+/// Returns how many running requests share each of the engine's slots, rounded up; 0 if
+/// none runs.
+fn requests_per_slot(simulation: &Simulation, name: &EndpointName) -> u64 {
+    let state = simulation.lock();
     let Some(engine) = state.engines.get(name) else { return 1 };
     let running: usize = engine.models.values().map(|model| model.running).sum();
     running.div_ceil(engine.slots().max(1)) as u64
 }
 
-fn echo_of(body: &Value) -> String {
+fn echoed_prompt(body: &Value) -> String {
     let chat = body["messages"].as_array().and_then(|messages| messages.last());
     let prompt = chat.map_or(&body["prompt"], |message| &message["content"]);
-    prompt.as_str().unwrap_or("").chars().take(ECHO_CHARS).collect()
+    prompt.as_str().unwrap_or("").chars().take(MAX_ECHO_CHARS).collect()
 }
 
-fn completion(model: &ModelName, id: &str, text: &str) -> Value {
+fn completion_body(model: &ModelName, id: &str, text: &str) -> Value {
     let message = json!({"role": "assistant", "content": text});
     json!({
         "id": id,
@@ -209,10 +222,10 @@
     })
 }
 
-/// Answers word by word, as server-sent events.
-fn stream(
+/// Streams the answer word by word, as server-sent events.
+fn stream_response(
     conn: Conn,
-    running: Running,
+    running: RunningRequest,
     model: &ModelName,
     id: &str,
     text: &str,
@@ -234,32 +247,33 @@
     }
     let interval_ms = service_ms / events.len().max(1) as u64;
     events.reverse();
-    let body = Paced { running: Some(running), events, interval_ms, timer: None, left: Vec::new() };
+    let body =
+        PacedBody { running: Some(running), events, interval_ms, timer: None, unread: Vec::new() };
     conn.with_response_header("content-type", "text/event-stream")
         .with_status(Status::Ok)
         .with_body(Body::new_streaming(body, None))
         .halt()
 }
 
-/// A body whose events come one after another.
+/// A response body that yields one event per interval.
 ///
-/// The request has run once its last event is there, before a reader takes it.
-struct Paced {
-    running: Option<Running>,
+/// The request counts as finished once its last event is due, before a reader consumes it.
+struct PacedBody {
+    running: Option<RunningRequest>,
     events: Vec<String>,
     interval_ms: u64,
     timer: Option<smol::Timer>,
-    left: Vec<u8>,
+    unread: Vec<u8>,
 }
 
-impl AsyncRead for Paced {
+impl AsyncRead for PacedBody {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if this.left.is_empty() {
+        if this.unread.is_empty() {
             let interval = std::time::Duration::from_millis(this.interval_ms);
             let timer = this.timer.get_or_insert_with(|| smol::Timer::after(interval));
             let timer = Pin::new(timer);
@@ -268,14 +282,14 @@
             }
             this.timer = None;
             let Some(event) = this.events.pop() else { return Poll::Ready(Ok(0)) };
-            this.left = event.into_bytes();
+            this.unread = event.into_bytes();
             if this.events.is_empty() {
                 this.running = None;
             }
         }
-        let count = this.left.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&this.left[..count]);
-        this.left.drain(..count);
+        let count = this.unread.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&this.unread[..count]);
+        this.unread.drain(..count);
         Poll::Ready(Ok(count))
     }
 }
--- a/crates/trestle-standin/src/error.rs
+++ b/crates/trestle-standin/src/error.rs
@@ -3,10 +3,10 @@
 use snafu::Snafu;
 use std::{net::AddrParseError, path::PathBuf};
 
-/// The result of starting the stand-in.
+/// The result of a step of starting the stand-in.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// The stand-in cannot start.
+/// Why the stand-in cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
@@ -16,6 +16,6 @@
     Read { path: PathBuf, source: std::io::Error },
     #[snafu(display("{source}"))]
     Config { source: trestle_config::Error },
-    #[snafu(display("`{text}` is not an ip:port: {source}"))]
+    #[snafu(display("expected an address of the form IP:PORT, found `{text}`: {source}"))]
     Address { text: String, source: AddrParseError },
 }
--- a/crates/trestle-standin/src/faults.rs
+++ b/crates/trestle-standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are switched at run time.
+//! Faults that are set at run time over the control address.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -7,15 +7,15 @@
 #[serde(default, deny_unknown_fields)]
 #[derive(Default)]
 pub(crate) struct PlatformFaults {
-    /// Whether every request fails.
+    /// Whether the platform rejects every request.
     pub(crate) down: bool,
-    /// Time by which every answer is late.
+    /// Delay before the platform handles a request.
     pub(crate) slow_ms: u64,
-    /// Commits whose answer is lost after they took effect.
+    /// Number of next commits whose answer is lost after they took effect.
     pub(crate) lose_answers: u32,
-    /// Whether commits fail while reads succeed.
+    /// Whether the platform rejects commits while reads succeed.
     pub(crate) writes_down: bool,
-    /// Addresses of the platform that are cut off.
+    /// Addresses of the platform at which every request is rejected.
     pub(crate) cut: Vec<SocketAddr>,
 }
 
@@ -24,15 +24,15 @@
 #[serde(default, deny_unknown_fields)]
 #[derive(Default)]
 pub(crate) struct EngineFaults {
-    /// Whether nothing is answered until this is switched off.
+    /// Whether the engine answers no request until this is unset.
     pub(crate) frozen: bool,
-    /// Time by which every answer to an order is late.
+    /// Delay of every answer to an order; the order itself takes effect at once.
     pub(crate) order_slow_ms: u64,
-    /// Answers that are cut in the middle.
+    /// Number of next answers that are truncated to half.
     pub(crate) cut_answers: u32,
-    /// Answers that carry another request's id and text.
+    /// Number of next answers that carry another request's id and text.
     pub(crate) cross_answers: u32,
-    /// Answers that fail with a server error.
+    /// Number of next requests that are answered with a server error.
     pub(crate) fail_answers: u32,
 }
 
@@ -41,13 +41,13 @@
 #[serde(default, deny_unknown_fields)]
 #[derive(Default)]
 pub(crate) struct ServiceFaults {
-    /// Calls that run and whose connection then closes without an answer.
+    /// Number of next calls that run and whose answer then ends without its body.
     pub(crate) cut_after_run: u32,
-    /// Time that every call takes.
+    /// Time that every call takes to run.
     pub(crate) slow_ms: u64,
 }
 
-/// All faults.
+/// All faults that the stand-in injects.
 #[trestle_macros::wire]
 #[serde(default, deny_unknown_fields)]
 #[derive(Default)]
@@ -58,13 +58,13 @@
     pub(crate) engines: BTreeMap<String, EngineFaults>,
     /// Faults of plain services.
     pub(crate) services: ServiceFaults,
-    /// Factor by which the weight store is slower.
+    /// Factor by which the weight store is slower; `None` is 1.
     pub(crate) weights_slower: Option<f64>,
 }
 
-/// Uses up one of a number of faults.
-pub(crate) fn take_one(left: &mut u32) -> bool {
-    let is_left = *left > 0;
-    *left = left.saturating_sub(1);
-    is_left
+/// Decrements a number of remaining faults; returns whether one was left.
+pub(crate) fn consume_one(remaining: &mut u32) -> bool {
+    let is_faulty = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    is_faulty
 }
--- a/crates/trestle-standin/src/http.rs
+++ b/crates/trestle-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers around the HTTP server.
+//! Helpers for the HTTP servers of the stand-in.
 
 use crate::error::{AddressSnafu, Result};
 use serde::{Serialize, de::DeserializeOwned};
@@ -6,7 +6,7 @@
 use std::{future::Future, net::SocketAddr, time::Duration};
 use trillium::{Conn, Status};
 
-/// Serves an address until the process ends.
+/// Serves requests at an address until the process ends.
 pub(crate) fn serve<F>(address: SocketAddr, handler: impl Fn(Conn) -> F + Send + Sync + 'static)
 where
     F: Future<Output = Conn> + Send + 'static,
@@ -19,14 +19,14 @@
     smol::spawn(server.run_async(handler)).detach();
 }
 
-/// The address in a URL as the configuration has it.
-pub(crate) fn address_of(url: &str) -> Result<SocketAddr> {
+/// Parses the address of a URL of the form `http://IP:PORT`.
+pub(crate) fn parse_address(url: &str) -> Result<SocketAddr> {
     let text = url.trim_start_matches("http://");
     text.parse().context(AddressSnafu { text })
 }
 
-/// Answers with JSON.
-pub(crate) fn json(conn: Conn, status: Status, body: &impl Serialize) -> Conn {
+/// Answers with a JSON body.
+pub(crate) fn json_response(conn: Conn, status: Status, body: &impl Serialize) -> Conn {
     let body = serde_json::to_string(body).unwrap_or_default();
     conn.with_status(status)
         .with_response_header("content-type", "application/json")
@@ -34,13 +34,12 @@
         .halt()
 }
 
-/// The JSON body of a request.
-pub(crate) async fn body_of<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
+/// Reads the JSON body of a request; returns `None` if it cannot be read or parsed.
+pub(crate) async fn read_json<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let text = conn.request_body_string().await.ok()?;
     serde_json::from_str(&text).ok()
 }
 
-/// Waits.
 pub(crate) async fn sleep_ms(time_ms: u64) {
     smol::Timer::after(Duration::from_millis(time_ms)).await;
 }
--- a/crates/trestle-standin/src/main.rs
+++ b/crates/trestle-standin/src/main.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for model engines, plain services and the platform.
+//! Simulates model engines, plain services and the platform for tests.
 //!
-//! One process takes the place of everything that a configuration file names.
-//! It counts what happens at the far side and notes every breach of what must
-//! always hold. Faults are switched at run time over its control address.
+//! One process simulates all endpoints that a configuration file names, and the
+//! platform. It counts orders, requests and table accesses, and records a breach
+//! whenever an invariant is violated, such as a call that runs twice. Faults are
+//! set at run time over its control address.
 
 mod args;
 mod control;
@@ -14,10 +15,10 @@
 mod platform;
 mod platform_http;
 mod service_http;
-mod weights;
-mod world;
+mod simulation;
+mod weight_store;
 
-use crate::{args::Args, error::Result, world::World};
+use crate::{args::Args, error::Result, simulation::Simulation};
 use std::{process::ExitCode, sync::Arc};
 
 fn main() -> ExitCode {
@@ -33,28 +34,30 @@
 async fn run() -> Result<()> {
     let Some(args) = Args::from_env()? else { return Ok(()) };
     let config = args.config()?;
-    let world = Arc::new(World::new(&config, &args));
+    let simulation = Arc::new(Simulation::new(&config, &args));
     for address in &args.platform_addresses {
-        let world = Arc::clone(&world);
+        let simulation = Arc::clone(&simulation);
         let address = *address;
-        http::serve(address, move |conn| platform_http::handle(Arc::clone(&world), address, conn));
+        http::serve(address, move |conn| {
+            platform_http::handle(Arc::clone(&simulation), address, conn)
+        });
     }
     for (name, url) in &config.engine_urls {
-        let (world, name) = (Arc::clone(&world), name.clone());
-        let handle = move |conn| engine_http::handle(Arc::clone(&world), name.clone(), conn);
-        http::serve(http::address_of(url)?, handle);
+        let (simulation, name) = (Arc::clone(&simulation), name.clone());
+        let handle = move |conn| engine_http::handle(Arc::clone(&simulation), name.clone(), conn);
+        http::serve(http::parse_address(url)?, handle);
     }
     for (service, spec) in &config.services {
         for endpoint in spec.endpoints.values() {
-            let (world, service) = (Arc::clone(&world), service.clone());
+            let (simulation, service) = (Arc::clone(&simulation), service.clone());
             let header = spec.idempotency_header.clone();
             let handle = move |conn| {
-                service_http::handle(Arc::clone(&world), service.clone(), header.clone(), conn)
+                service_http::handle(Arc::clone(&simulation), service.clone(), header.clone(), conn)
             };
-            http::serve(http::address_of(&endpoint.url)?, handle);
+            http::serve(http::parse_address(&endpoint.url)?, handle);
         }
     }
-    let control = Arc::clone(&world);
+    let control = Arc::clone(&simulation);
     http::serve(args.control_address, move |conn| control::handle(Arc::clone(&control), conn));
     println!("standin: serving {} engines", config.engine_urls.len());
     std::future::pending::<()>().await;
--- a/crates/trestle-standin/src/platform.rs
+++ b/crates/trestle-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table, objects and list of VMs.
+//! The state of the simulated platform: its table, objects and list of VMs.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
     CommitRequest, CommitResponse, ReadRequest, ReadResponse, VmList, WireRow, WireVmState,
 };
 
-/// The platform's table, objects and list of VMs.
+/// The state of the simulated platform: its table, objects and list of VMs.
 pub(crate) struct Platform {
     rows: BTreeMap<String, WireRow>,
     objects: BTreeMap<String, Vec<u8>>,
--- a/crates/trestle-standin/src/service_http.rs
+++ b/crates/trestle-standin/src/service_http.rs
@@ -1,9 +1,9 @@
-//! A plain service over HTTP.
+//! HTTP interface of a simulated plain service.
 
 use crate::{
-    faults::take_one,
-    http::{json, sleep_ms},
-    world::World,
+    faults::consume_one,
+    http::{json_response, sleep_ms},
+    simulation::Simulation,
 };
 use serde_json::json;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use trillium::{Conn, Status};
 
 pub(crate) async fn handle(
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     service: String,
     idempotency_header: String,
     mut conn: Conn,
@@ -23,23 +23,23 @@
     let Ok(body) = conn.request_body_string().await else {
         return conn.with_status(Status::BadRequest).halt();
     };
-    let slow_ms = world.lock().faults.services.slow_ms;
-    let run = count_run(&world, &service, key.as_deref());
+    let slow_ms = simulation.lock().faults.services.slow_ms;
+    let run = record_run(&simulation, &service, key.as_deref());
     sleep_ms(slow_ms).await;
     let conn = conn.with_response_header(headers::REQUEST_ID, request_id);
-    if take_one(&mut world.lock().faults.services.cut_after_run) {
-        // A length that the body never reaches: the caller sees a broken answer.
+    if consume_one(&mut simulation.lock().faults.services.cut_after_run) {
+        // The body is shorter than its announced length, so the caller sees a truncated answer.
         let body = trillium::Body::new_streaming(futures_lite::io::empty(), Some(1));
         return conn.with_status(Status::Ok).with_body(body).halt();
     }
     let answer = json!({
         "service": service, "method": method, "path": path, "echo": body, "key": key, "run": run,
     });
-    json(conn, Status::Ok, &answer)
+    json_response(conn, Status::Ok, &answer)
 }
 
-fn count_run(world: &World, service: &str, key: Option<&str>) -> u64 {
-    let mut state = world.lock();
+fn record_run(simulation: &Simulation, service: &str, key: Option<&str>) -> u64 {
+    let mut state = simulation.lock();
     state.counts.service_runs += 1;
     if let Some(key) = key {
         let name = format!("{service}/{key}");
@@ -47,7 +47,7 @@
         *runs += 1;
         let runs = *runs;
         if runs > 1 {
-            state.breach(format!("call {name} ran {runs} times"));
+            state.record_breach(format!("call {name} ran {runs} times"));
         }
     }
     state.counts.service_runs
--- a/crates/trestle-standin/src/world.rs
+++ b/crates/trestle-standin/src/simulation.rs
@@ -1,6 +1,8 @@
-//! All state of the stand-in.
+//! The simulated state that all servers of the stand-in share.
 
-use crate::{args::Args, engine::Engine, faults::Faults, platform::Platform, weights::Weights};
+use crate::{
+    args::Args, engine::Engine, faults::Faults, platform::Platform, weight_store::WeightStore,
+};
 use std::{
     collections::BTreeMap,
     sync::{Mutex, MutexGuard, PoisonError},
@@ -13,30 +15,30 @@
 };
 use trestle_wire::table::WireVmState;
 
-/// Time after which a leaving endpoint must get no new work.
-const LEAVING_GRACE_MS: u64 = 5_000;
+/// Time after the start of draining from which new work at an endpoint is a breach.
+const DRAINING_GRACE_MS: u64 = 5_000;
 
-/// All state of the stand-in.
-pub(crate) struct World {
+/// The simulated state that all servers of the stand-in share.
+pub(crate) struct Simulation {
     state: Mutex<State>,
     started: Instant,
     pub(crate) models: BTreeMap<ModelName, ModelSpec>,
-    pub(crate) weights: Weights,
+    pub(crate) weight_store: WeightStore,
     speed: f64,
 }
 
-/// What changes.
+/// The part of the simulation that changes at run time.
 pub(crate) struct State {
     pub(crate) platform: Platform,
     pub(crate) engines: BTreeMap<EndpointName, Engine>,
     pub(crate) faults: Faults,
     pub(crate) counts: Counts,
-    pub(crate) leaving_since_ms: BTreeMap<String, u64>,
+    pub(crate) draining_since_ms: BTreeMap<String, u64>,
     pub(crate) runs_by_key: BTreeMap<String, u32>,
     pub(crate) breaches: Vec<String>,
 }
 
-/// What happened so far.
+/// Counts of events since the start.
 #[trestle_macros::wire]
 #[derive(Default)]
 pub(crate) struct Counts {
@@ -52,7 +54,7 @@
     pub(crate) most_replicas: BTreeMap<String, usize>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(config: &Config, args: &Args) -> Self {
         let engines = config.catalog.engines.iter();
         let engines: BTreeMap<_, _> =
@@ -62,7 +64,7 @@
             engines,
             faults: Faults::default(),
             counts: Counts::default(),
-            leaving_since_ms: BTreeMap::new(),
+            draining_since_ms: BTreeMap::new(),
             runs_by_key: BTreeMap::new(),
             breaches: Vec::new(),
         };
@@ -70,7 +72,7 @@
             state: Mutex::new(state),
             started: Instant::now(),
             models: config.catalog.models.clone(),
-            weights: Weights::new(args.loads_per_s * args.speed, args.full_speed_loads),
+            weight_store: WeightStore::new(args.loads_per_s * args.speed, args.full_speed_loads),
             speed: args.speed,
         }
     }
@@ -83,48 +85,51 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// A declared time at the speed of this run.
+    /// Divides a declared time by the speed of this run, rounded up.
     pub(crate) fn scaled_ms(&self, declared_ms: u64) -> u64 {
         (declared_ms as f64 / self.speed).ceil() as u64
     }
 }
 
 impl State {
-    /// Notes that something happened which must never happen.
-    pub(crate) fn breach(&mut self, text: String) {
+    /// Records and prints a breach: a violated invariant.
+    pub(crate) fn record_breach(&mut self, text: String) {
         eprintln!("standin: breach: {text}");
         self.breaches.push(text);
     }
 
-    /// Changes the state of a VM in the platform's list.
+    /// Sets the state of a VM in the platform's list; `None` removes it.
     pub(crate) fn set_vm(&mut self, name: &str, state: Option<WireVmState>, now_ms: u64) {
         match state {
             Some(WireVmState::Leaving) => {
-                self.leaving_since_ms.entry(name.to_owned()).or_insert(now_ms);
+                self.draining_since_ms.entry(name.to_owned()).or_insert(now_ms);
             }
             Some(WireVmState::Live) | None => {
-                self.leaving_since_ms.remove(name);
+                self.draining_since_ms.remove(name);
             }
         }
         self.platform.set_vm(name, state);
     }
 
-    /// Checks that new work at an endpoint did not come long after it began to leave.
-    pub(crate) fn check_leaving(&mut self, endpoint: &EndpointName, what: &str, now_ms: u64) {
-        let since_ms = self.leaving_since_ms.get(endpoint.as_str());
-        if since_ms.is_some_and(|since_ms| now_ms > since_ms + LEAVING_GRACE_MS) {
-            self.breach(format!("{what} at leaving endpoint {endpoint}"));
+    /// Records a breach if an endpoint gets new work more than [`DRAINING_GRACE_MS`] after it
+    /// began to drain.
+    pub(crate) fn check_draining(&mut self, endpoint: &EndpointName, what: &str, now_ms: u64) {
+        let since_ms = self.draining_since_ms.get(endpoint.as_str());
+        if since_ms.is_some_and(|since_ms| now_ms > since_ms + DRAINING_GRACE_MS) {
+            self.record_breach(format!("new {what} at draining endpoint {endpoint}"));
         }
     }
 
-    /// Checks that a model takes memory at no more endpoints than were decided.
+    /// Records a breach if more engines hold a model than its configured number of replicas.
     pub(crate) fn check_replicas(&mut self, model: &ModelName, max_replicas: usize) {
         let holds = |engine: &&Engine| engine.models.contains_key(model);
         let replicas = self.engines.values().filter(holds).count();
-        let most = self.counts.most_replicas.entry(model.to_string()).or_default();
-        *most = replicas.max(*most);
+        let max_seen = self.counts.most_replicas.entry(model.to_string()).or_default();
+        *max_seen = replicas.max(*max_seen);
         if replicas > max_replicas {
-            self.breach(format!("model {model} has {replicas} replicas, {max_replicas} decided"));
+            self.record_breach(format!(
+                "model {model} has {replicas} replicas; at most {max_replicas} are configured"
+            ));
         }
     }
 }
--- a/crates/trestle-standin/src/weights.rs
+++ b/crates/trestle-standin/src/weight_store.rs
@@ -1,4 +1,5 @@
-//! The weight store: loads start at a rate, and slow each other down past a number.
+//! The simulated weight store: it starts loads at a limited rate, and concurrent loads beyond
+//! a number slow each other down.
 
 use std::{
     sync::{
@@ -8,15 +9,15 @@
     time::{Duration, Instant},
 };
 
-/// The weight store.
-pub(crate) struct Weights {
+/// The simulated weight store.
+pub(crate) struct WeightStore {
     start_interval: Duration,
     full_speed_loads: usize,
     next_start: Mutex<Instant>,
     running: AtomicUsize,
 }
 
-impl Weights {
+impl WeightStore {
     pub(crate) fn new(loads_per_s: f64, full_speed_loads: usize) -> Self {
         Self {
             start_interval: Duration::from_secs_f64(1.0 / loads_per_s),
@@ -26,12 +27,14 @@
         }
     }
 
-    /// Takes as long as a load takes that alone would take the time given.
-    pub(crate) async fn load(&self, time_ms: u64, slower: f64) {
+    /// Waits for the duration of one load.
+    ///
+    /// `time_ms` is the duration at full speed, `slowdown` a factor of an injected fault.
+    pub(crate) async fn load(&self, time_ms: u64, slowdown: f64) {
         smol::Timer::at(self.reserve_start()).await;
         let running = self.running.fetch_add(1, Ordering::Relaxed) + 1;
-        let sharing = (running as f64 / self.full_speed_loads as f64).max(1.0);
-        let time = Duration::from_millis(time_ms).mul_f64(sharing * slower);
+        let contention = (running as f64 / self.full_speed_loads as f64).max(1.0);
+        let time = Duration::from_millis(time_ms).mul_f64(contention * slowdown);
         smol::Timer::after(time).await;
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
