--- a/crates/trestlectl/src/apply.rs
+++ b/crates/trestlectl/src/apply.rs
@@ -1,12 +1,13 @@
-//! Putting a configuration file in force.
+//! Applies a configuration file.
 //!
-//! The file is written as an object that is named after the apply. Then one
-//! transaction moves the head on, if it still has the version that was read.
-//! If the answer to that is lost, the head is read back: it names the apply
-//! that made it, so there is no doubt who won.
+//! The file is written as an object that is named after the id of the apply. Then
+//! one transaction advances the head, if the head's row still has the version that
+//! was read. If the answer to the transaction is lost, the history row of the new
+//! version is read back: it holds the id of the apply that wrote it, which shows
+//! whether this apply or another one succeeded.
 
 use crate::{
-    error::{AmbiguousSnafu, ClientSnafu, ConfigSnafu, LostSnafu, ReadSnafu, Result},
+    error::{ClientSnafu, ConfigSnafu, ConflictSnafu, ReadSnafu, Result, UnknownOutcomeSnafu},
     output,
 };
 use smol::Timer;
@@ -19,18 +20,18 @@
     CONFIG_HEAD_KEY, CommitRequest, ConfigHead, config_history_key, config_object,
 };
 
-/// Tries to find out what became of an apply.
-const READ_BACK_TRIES: u32 = 10;
-/// Time between them.
+/// Attempts to read back the result of an apply whose answer was lost.
+const READ_BACK_ATTEMPTS: u32 = 10;
+/// Delay between these attempts.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The head as it was read.
-pub(crate) struct ReadHead {
+/// The configuration head and the version of its row; a row version of 0 means no row.
+pub(crate) struct StoredHead {
     pub(crate) row_version: u64,
     pub(crate) head: Option<ConfigHead>,
 }
 
-/// Checks a file.
+/// Checks a configuration file and prints a summary; fails if it cannot be read or is invalid.
 pub(crate) fn check(path: &Path) -> Result<(Config, String)> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let config =
@@ -47,7 +48,9 @@
     Ok((config, text))
 }
 
-/// Puts a file in force.
+/// Applies a configuration file.
+///
+/// Fails if the version in force is not `expected_version`, or if another apply succeeds first.
 pub(crate) async fn apply(
     path: &Path,
     platform_url: &str,
@@ -59,49 +62,49 @@
     let apply_id = format!("{:032x}", fastrand::u128(..));
     platform.put_object(&config_object(&apply_id), text.as_bytes()).await.context(ClientSnafu)?;
     let before = read_head(&platform).await.context(ClientSnafu)?;
-    ensure_expected(expected_version, before.head.as_ref())?;
+    ensure_expected_version(expected_version, before.head.as_ref())?;
     let head = ConfigHead {
         version: before.version() + 1,
         apply_id: apply_id.clone(),
         sha256: trestle_config::digest(&text),
         author: author.to_owned(),
     };
-    let (outcome, _) = platform.commit_raw(&request(&head, before.row_version)).await;
+    let (outcome, _) = platform.commit_raw(&commit_request(&head, before.row_version)).await;
     match outcome {
         CommitOutcome::Committed => {}
-        CommitOutcome::Conflict => return Err(lost(&platform, &head).await),
+        CommitOutcome::Conflict => return Err(conflict_error(&platform, &head).await),
         CommitOutcome::Unknown => read_back(&platform, &head).await?,
     }
     output::line(&format!("version {} is accepted (apply {apply_id})", head.version));
     Ok(())
 }
 
-/// Reads the head.
-pub(crate) async fn read_head(platform: &Platform) -> trestle_client::Result<ReadHead> {
+/// Reads the configuration head from the platform.
+pub(crate) async fn read_head(platform: &Platform) -> trestle_client::Result<StoredHead> {
     let response = platform.read_raw(vec![CONFIG_HEAD_KEY.to_owned()]).await?;
     let Some(row) = response.rows.get(CONFIG_HEAD_KEY) else {
-        return Ok(ReadHead { row_version: 0, head: None });
+        return Ok(StoredHead { row_version: 0, head: None });
     };
     let head = row.value.clone().and_then(|value| serde_json::from_value(value).ok());
-    Ok(ReadHead { row_version: row.version, head })
+    Ok(StoredHead { row_version: row.version, head })
 }
 
-impl ReadHead {
-    /// The version in force, 0 for none.
+impl StoredHead {
+    /// Returns the version in force; 0 if there is none.
     pub(crate) fn version(&self) -> u64 {
         self.head.as_ref().map_or(0, |head| head.version)
     }
 }
 
-fn ensure_expected(expected: Option<u64>, head: Option<&ConfigHead>) -> Result<()> {
+fn ensure_expected_version(expected: Option<u64>, head: Option<&ConfigHead>) -> Result<()> {
     let found = head.map_or(0, |head| head.version);
     let author = head.map_or("nobody", |head| head.author.as_str());
     let expected = expected.unwrap_or(found);
-    ensure!(expected == found, LostSnafu { expected, found, author });
+    ensure!(expected == found, ConflictSnafu { expected, found, author });
     Ok(())
 }
 
-fn request(head: &ConfigHead, row_version: u64) -> CommitRequest {
+fn commit_request(head: &ConfigHead, row_version: u64) -> CommitRequest {
     let value = serde_json::to_value(head).ok();
     let mut request = CommitRequest::default();
     request.checks.insert(CONFIG_HEAD_KEY.to_owned(), row_version);
@@ -110,21 +113,21 @@
     request
 }
 
-/// Finds out what became of an apply whose answer was lost.
+/// Reads back whether an apply succeeded whose answer was lost.
 async fn read_back(platform: &Platform, ours: &ConfigHead) -> Result<()> {
-    for _ in 0..READ_BACK_TRIES {
+    for _ in 0..READ_BACK_ATTEMPTS {
         let history = history_head(platform, ours.version).await;
         match history {
             Ok(Some(head)) if head.apply_id == ours.apply_id => return Ok(()),
-            Ok(Some(_)) => return Err(lost(platform, ours).await),
+            Ok(Some(_)) => return Err(conflict_error(platform, ours).await),
             Ok(None) | Err(_) => {}
         }
         Timer::after(READ_BACK_INTERVAL).await;
     }
-    AmbiguousSnafu { apply_id: &ours.apply_id }.fail()
+    UnknownOutcomeSnafu { apply_id: &ours.apply_id }.fail()
 }
 
-/// The head of a version.
+/// Reads the head of one version from the history; returns `None` if there was no such version.
 pub(crate) async fn history_head(
     platform: &Platform,
     version: u64,
@@ -135,9 +138,9 @@
     Ok(value.and_then(|value| serde_json::from_value(value).ok()))
 }
 
-async fn lost(platform: &Platform, ours: &ConfigHead) -> crate::error::Error {
+async fn conflict_error(platform: &Platform, ours: &ConfigHead) -> crate::error::Error {
     let found = read_head(platform).await.ok().and_then(|read| read.head);
     let author = found.as_ref().map_or("another operator", |head| head.author.as_str());
     let version = found.as_ref().map_or(ours.version, |head| head.version);
-    LostSnafu { expected: ours.version - 1, found: version, author }.build()
+    ConflictSnafu { expected: ours.version - 1, found: version, author }.build()
 }
--- a/crates/trestlectl/src/args.rs
+++ b/crates/trestlectl/src/args.rs
@@ -1,44 +1,44 @@
-//! What the command line asks for.
+//! Command-line arguments of `trestlectl`.
 
-use crate::error::{ArgsSnafu, CommandSnafu, Result, UnusedSnafu};
+use crate::error::{ArgsSnafu, CommandSnafu, Result, UnusedArgumentSnafu};
 use pico_args::Arguments;
 use snafu::{OptionExt, ResultExt, ensure};
 use std::path::PathBuf;
 
 const HELP: &str = "\
-trestlectl: the operators' command line of trestlestile
+trestlectl: the command line of trestlestile for operators
 
 USAGE:
     trestlectl check FILE
-        Check a configuration file; needs no running system.
+        Check a configuration file; no running system is needed.
     trestlectl apply FILE --platform URL [--expect-version N] [--author NAME]
-        Put a file in force as a whole, if version N (or the present one) still is.
+        Apply a complete file, if version N (or the current one) is still in force.
     trestlectl show --platform URL [--version N]
-        Print the file in force, or that of a version.
+        Print the file in force, or the file of a version.
     trestlectl history --platform URL
         List the latest versions, their authors and digests.
     trestlectl status --daemon IP:PORT... [--token TOKEN]
-        Show members, owners and replicas, as the daemons see them.
+        Show members, owners and replicas, as the daemons report them.
     trestlectl explain MODEL --daemon IP:PORT... [--token TOKEN]
-        Show why a model is where it is, and which decisions are unresolved.
+        Show where a model is placed, its owners, and whether they are confirmed.
     trestlectl trace ID FILE...
-        Tell one request's story from the logs of daemons, with what was believed.
+        Print the log lines of one request and what its daemons knew at the time.
     trestlectl report FILE... [--html PAGE]
-        Tables from the logs of daemons; with --html also plots, as one page.
+        Print tables from the logs of daemons; with --html also write them with plots.
     trestlectl digest TOKEN
         Print the digest of a token, for the configuration file.
 
 OPTIONS:
     --version    print the version
-    --help       print this
+    --help       print this help
 ";
 
-/// What the command line asks for.
+/// Command-line arguments of `trestlectl`.
 pub(crate) struct Args {
     pub(crate) command: Command,
 }
 
-/// One command with what it needs.
+/// A command with its arguments.
 pub(crate) enum Command {
     Check { path: PathBuf },
     Apply { path: PathBuf, platform: String, expected_version: Option<u64>, author: String },
@@ -48,11 +48,11 @@
     Explain { model: String, daemons: Vec<String>, token: Option<String> },
     Digest { token: String },
     Trace { id: String, files: Vec<PathBuf> },
-    Report { files: Vec<PathBuf>, page: Option<PathBuf> },
+    Report { files: Vec<PathBuf>, html_path: Option<PathBuf> },
 }
 
 impl Args {
-    /// Reads the command line; `None` if it only asked for help.
+    /// Parses the arguments of the process; returns `None` after printing the help or the version.
     pub(crate) fn from_env() -> Result<Option<Self>> {
         let mut args = Arguments::from_env();
         if args.contains("--help") {
@@ -68,9 +68,9 @@
             return Ok(None);
         };
         let command = command(&word, &mut args)?;
-        let left = args.finish();
-        let unused = left.first().map(|word| word.to_string_lossy().into_owned());
-        ensure!(unused.is_none(), UnusedSnafu { word: unused.unwrap_or_default() });
+        let unparsed = args.finish();
+        let unused = unparsed.first().map(|word| word.to_string_lossy().into_owned());
+        ensure!(unused.is_none(), UnusedArgumentSnafu { word: unused.unwrap_or_default() });
         Ok(Some(Self { command }))
     }
 }
@@ -100,7 +100,7 @@
             files: files(args)?,
         }),
         "report" => Some(Command::Report {
-            page: args.opt_value_from_str("--html").context(ArgsSnafu)?,
+            html_path: args.opt_value_from_str("--html").context(ArgsSnafu)?,
             files: files(args)?,
         }),
         "digest" => Some(Command::Digest { token: args.free_from_str().context(ArgsSnafu)? }),
@@ -126,8 +126,8 @@
 }
 
 fn author(args: &mut Arguments) -> Result<String> {
-    let named: Option<String> = args.opt_value_from_str("--author").context(ArgsSnafu)?;
-    Ok(named.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "unknown".to_owned()))
+    let given: Option<String> = args.opt_value_from_str("--author").context(ArgsSnafu)?;
+    Ok(given.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "unknown".to_owned()))
 }
 
 fn daemons(args: &mut Arguments) -> Result<Vec<String>> {
--- a/crates/trestlectl/src/error.rs
+++ b/crates/trestlectl/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line.
+//! Errors of `trestlectl`.
 
 use snafu::Snafu;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 /// The result of a command.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// A command could not be carried out.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
@@ -14,8 +14,8 @@
     Args { source: pico_args::Error },
     #[snafu(display("`{word}` is not a command; see --help"))]
     Command { word: String },
-    #[snafu(display("`{word}` is not known to this command; see --help"))]
-    Unused { word: String },
+    #[snafu(display("this command does not take the argument `{word}`; see --help"))]
+    UnusedArgument { word: String },
     #[snafu(display("{} cannot be read: {source}", path.display()))]
     Read { path: PathBuf, source: std::io::Error },
     #[snafu(display("{source}"))]
@@ -30,13 +30,15 @@
         "version {found} by {author} is in force, not {expected}; nothing was changed. \
          Look at it with `trestlectl show`, and apply again with `--expect-version {found}`"
     ))]
-    Lost { expected: u64, found: u64, author: String },
+    Conflict { expected: u64, found: u64, author: String },
     #[snafu(display(
-        "the platform did not say whether the file was accepted, and cannot be read; \
-         `trestlectl history` will tell: look for apply {apply_id}"
+        "the platform did not confirm the apply and cannot be read; to see whether the file was \
+         accepted, look for apply {apply_id} in `trestlectl history`"
+    ))]
+    UnknownOutcome { apply_id: String },
+    #[snafu(display(
+        "no daemon answered; give the addresses of reachable daemons with --daemon IP:PORT"
     ))]
-    Ambiguous { apply_id: String },
-    #[snafu(display("no daemon answered; name reachable ones with --daemon IP:PORT"))]
     NoDaemon,
     #[snafu(display(
         "no line of {files} files is about request `{id}`; name the logs of all daemons"
@@ -44,6 +46,6 @@
     NoRequest { id: String, files: usize },
     #[snafu(display("{} cannot be written: {source}", path.display()))]
     Write { path: PathBuf, source: std::io::Error },
-    #[snafu(display("the stored configuration is not text"))]
+    #[snafu(display("the stored configuration is not valid UTF-8; apply the file again"))]
     NotText,
 }
--- a/crates/trestlectl/src/explain.rs
+++ b/crates/trestlectl/src/explain.rs
@@ -1,8 +1,8 @@
-//! Why a model is where it is.
+//! Explains the placement of a model.
 
 use crate::{error::Result, output, status};
 
-/// Prints what the daemons know of a model.
+/// Prints, for each owner that has a model placed, its placement, state and owner.
 pub(crate) async fn print(model: &str, daemons: &[String], token: Option<&str>) -> Result<()> {
     let mut is_known = false;
     for daemon in status::fetch_all(daemons, token).await? {
--- a/crates/trestlectl/src/log_line.rs
+++ b/crates/trestlectl/src/log_line.rs
@@ -1,41 +1,41 @@
-//! Lines of daemons' logs.
+//! Parses the logs of daemons.
 //!
-//! A line is a JSON object; text before it, as collectors of logs put it there,
-//! names its source. Lines that are no such object are counted and named with
-//! their place, and the rest is read all the same.
+//! A line is a JSON object. The last word before the object, which log collectors
+//! insert, names the daemon. Lines that cannot be parsed are skipped, and their
+//! file and line number is recorded.
 
 use crate::error::{ReadSnafu, Result};
 use serde_json::{Map, Value};
 use snafu::ResultExt;
 use std::{fs, path::PathBuf};
 
-/// One line of a daemon's log.
+/// One parsed line of a daemon's log.
 #[derive(Debug, Clone)]
 pub(crate) struct LogLine {
-    /// When it was written, as text that sorts by time.
-    pub(crate) at: String,
-    /// The daemon: the text before the line, or the file it stands in.
+    /// Timestamp of the line, as text that sorts by time.
+    pub(crate) timestamp: String,
+    /// The daemon: the last word before the JSON object, or the name of the file.
     pub(crate) source: String,
-    /// What it says.
+    /// The message.
     pub(crate) message: String,
-    /// Everything else in it.
+    /// All other fields but the level.
     pub(crate) fields: Map<String, Value>,
 }
 
-/// Lines of several logs, in the order of time.
+/// The lines of several logs, sorted by time.
 #[derive(Debug, Default)]
 pub(crate) struct Logs {
-    /// Lines that were understood.
+    /// Parsed lines.
     pub(crate) lines: Vec<LogLine>,
-    /// Places of lines that were not.
-    pub(crate) bad: Vec<String>,
+    /// Positions of lines that cannot be parsed, as `file:line`.
+    pub(crate) unparsed: Vec<String>,
 }
 
-/// Reads logs.
+/// Reads and parses log files.
 ///
 /// # Errors
 ///
-/// Fails if a file cannot be read; lines that are not understood are noted.
+/// Fails if a file cannot be read; a line that cannot be parsed is no error.
 pub(crate) fn read(paths: &[PathBuf]) -> Result<Logs> {
     let mut logs = Logs::default();
     for path in paths {
@@ -45,11 +45,11 @@
             match LogLine::parse(line, &file) {
                 Some(line) => logs.lines.push(line),
                 None if line.trim().is_empty() => {}
-                None => logs.bad.push(format!("{}:{}", path.display(), number + 1)),
+                None => logs.unparsed.push(format!("{}:{}", path.display(), number + 1)),
             }
         }
     }
-    logs.lines.sort_by(|one, other| one.at.cmp(&other.at));
+    logs.lines.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
     Ok(logs)
 }
 
@@ -57,32 +57,32 @@
     fn parse(text: &str, file: &str) -> Option<Self> {
         let (before, object) = text.split_at(text.find('{')?);
         let mut fields: Map<String, Value> = serde_json::from_str(object).ok()?;
-        let mut take = |name: &str| match fields.remove(name) {
+        let mut take_text = |name: &str| match fields.remove(name) {
             Some(Value::String(text)) => Some(text),
             _ => None,
         };
-        let (at, message) = (take("timestamp")?, take("message")?);
-        take("level");
+        let (timestamp, message) = (take_text("timestamp")?, take_text("message")?);
+        take_text("level");
         let source = before.split_whitespace().last().unwrap_or(file).to_owned();
-        Some(Self { at, source, message, fields })
+        Some(Self { timestamp, source, message, fields })
     }
 
-    /// A field as text.
+    /// Returns a field that is a string.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// A field as a number.
+    /// Returns a field that is an unsigned number.
     pub(crate) fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// The time of day, to the millisecond.
+    /// Returns the time of day with milliseconds, as `hh:mm:ss.mmm`.
     pub(crate) fn time(&self) -> &str {
-        self.at.get(11..23).unwrap_or(&self.at)
+        self.timestamp.get(11..23).unwrap_or(&self.timestamp)
     }
 
-    /// Milliseconds since midnight.
+    /// Returns the time of day in milliseconds since midnight; `None` if it cannot be parsed.
     pub(crate) fn day_ms(&self) -> Option<u64> {
         let time = self.time();
         let part = |range: std::ops::Range<usize>| time.get(range)?.parse::<u64>().ok();
@@ -90,7 +90,7 @@
         Some(seconds * 1_000 + part(9..12)?)
     }
 
-    /// All fields but the id, in one line.
+    /// Formats all fields but the id as `name=value`, in one line.
     pub(crate) fn details(&self) -> String {
         let shown = self.fields.iter().filter(|(name, _)| *name != "id");
         let parts: Vec<String> = shown.map(|(name, value)| format!("{name}={value}")).collect();
--- a/crates/trestlectl/src/main.rs
+++ b/crates/trestlectl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line of trestlestile.
+//! The command line of trestlestile for operators.
 
 mod apply;
 mod args;
@@ -46,6 +46,6 @@
             explain::print(&model, &daemons, token.as_deref()).await
         }
         Command::Trace { id, files } => trace::print(&id, &files),
-        Command::Report { files, page } => report::print(&files, page.as_deref()),
+        Command::Report { files, html_path } => report::print(&files, html_path.as_deref()),
     }
 }
--- a/crates/trestlectl/src/report.rs
+++ b/crates/trestlectl/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables and plots from the logs of several daemons.
+//! Prints tables and writes plots from the logs of several daemons.
 
 use crate::{
     error::{Result, WriteSnafu},
@@ -13,23 +13,23 @@
     path::{Path, PathBuf},
 };
 
-/// What happened to requests, and what it took.
+/// Outcomes and times of the finished requests of one route.
 #[derive(Debug, Default)]
-struct Group {
-    ends: BTreeMap<String, u64>,
+struct RouteStats {
+    count_by_end: BTreeMap<String, u64>,
     first_ms: Vec<u64>,
     whole_ms: Vec<u64>,
-    further_sends: u64,
+    resends: u64,
 }
 
-/// Prints tables, and writes them with plots as one page if a file is named.
-pub(crate) fn print(paths: &[PathBuf], page: Option<&Path>) -> Result<()> {
+/// Prints tables; if `html_path` is given, also writes them with plots as one HTML page.
+pub(crate) fn print(paths: &[PathBuf], html_path: Option<&Path>) -> Result<()> {
     let logs = log_line::read(paths)?;
     let tables = tables(&logs);
     output::line(tables.trim_end());
-    trace::print_bad(&logs);
-    if let Some(path) = page {
-        fs::write(path, to_page(&logs, &tables)).context(WriteSnafu { path })?;
+    trace::print_unparsed(&logs);
+    if let Some(path) = html_path {
+        fs::write(path, to_html(&logs, &tables)).context(WriteSnafu { path })?;
     }
     Ok(())
 }
@@ -39,21 +39,21 @@
     text.push('\n');
     text.push_str(&changes(logs));
     text.push('\n');
-    text.push_str(&beliefs(logs));
+    text.push_str(&view_changes(logs));
     text
 }
 
 fn requests(logs: &Logs) -> String {
-    let mut groups: BTreeMap<&str, Group> = BTreeMap::new();
-    for line in ended(logs) {
-        let group = groups.entry(line.text("route").unwrap_or("-")).or_default();
+    let mut stats_by_route: BTreeMap<&str, RouteStats> = BTreeMap::new();
+    for line in finished_requests(logs) {
+        let stats = stats_by_route.entry(line.text("route").unwrap_or("-")).or_default();
         let end = line.text("end").unwrap_or("-").to_owned();
         if end == "whole" {
-            group.whole_ms.extend(line.number("took_ms"));
+            stats.whole_ms.extend(line.number("took_ms"));
         }
-        *group.ends.entry(end).or_default() += 1;
-        group.first_ms.extend(line.number("first_ms"));
-        group.further_sends += line.number("sends").unwrap_or(0).saturating_sub(1);
+        *stats.count_by_end.entry(end).or_default() += 1;
+        stats.first_ms.extend(line.number("first_ms"));
+        stats.resends += line.number("sends").unwrap_or(0).saturating_sub(1);
     }
     let mut text = String::from("requests, by route (times in ms)\n");
     let _ = writeln!(
@@ -61,31 +61,32 @@
         "{:<16}{:>8}{:>8}{:>11}{:>11}{:>11}{:>11}{:>8}  ends",
         "route", "all", "whole", "first p50", "first p99", "whole p50", "whole p99", "again"
     );
-    for (route, group) in &mut groups {
-        let all: u64 = group.ends.values().sum();
-        let whole = group.ends.remove("whole").unwrap_or(0);
-        let others: Vec<String> =
-            group.ends.iter().map(|(end, count)| format!("{end} {count}")).collect();
+    for (route, stats) in &mut stats_by_route {
+        let all: u64 = stats.count_by_end.values().sum();
+        let whole = stats.count_by_end.remove("whole").unwrap_or(0);
+        let other_ends: Vec<String> =
+            stats.count_by_end.iter().map(|(end, count)| format!("{end} {count}")).collect();
         let _ = writeln!(
             text,
             "{route:<16}{all:>8}{whole:>8}{:>11}{:>11}{:>11}{:>11}{:>8}  {}",
-            quantile(&mut group.first_ms, 0.5),
-            quantile(&mut group.first_ms, 0.99),
-            quantile(&mut group.whole_ms, 0.5),
-            quantile(&mut group.whole_ms, 0.99),
-            group.further_sends,
-            others.join(", ")
+            quantile(&mut stats.first_ms, 0.5),
+            quantile(&mut stats.first_ms, 0.99),
+            quantile(&mut stats.whole_ms, 0.5),
+            quantile(&mut stats.whole_ms, 0.99),
+            stats.resends,
+            other_ends.join(", ")
         );
     }
     text
 }
 
 fn changes(logs: &Logs) -> String {
-    let took = |message: &str| -> Vec<u64> {
+    let took_ms_of = |message: &str| -> Vec<u64> {
         let lines = logs.lines.iter().filter(|line| line.message == message);
         lines.filter_map(|line| line.number("took_ms")).collect()
     };
-    let (mut done, failed) = (took("order: A change is done."), took("order: A change failed."));
+    let (mut done, failed) =
+        (took_ms_of("order: A change is done."), took_ms_of("order: A change failed."));
     format!(
         "changes at engines: {} done (p50 {} ms, p99 {} ms), {} failed\n",
         done.len(),
@@ -95,21 +96,21 @@
     )
 }
 
-fn beliefs(logs: &Logs) -> String {
-    let starts =
+fn view_changes(logs: &Logs) -> String {
+    let prefixes =
         ["lease: This daemon", "sync:", "store: A table", "config: A conf", "stop:", "daemon:"];
-    let told = |line: &&LogLine| starts.iter().any(|start| line.message.starts_with(start));
+    let is_shown = |line: &&LogLine| prefixes.iter().any(|prefix| line.message.starts_with(prefix));
     let mut text = String::from("beliefs lost and regained, stops and starts\n");
-    for line in logs.lines.iter().filter(told) {
+    for line in logs.lines.iter().filter(is_shown) {
         let (time, source) = (line.time(), &line.source);
         let _ = writeln!(text, "{time} {source} {} {}", line.message, line.details());
     }
     text
 }
 
-fn to_page(logs: &Logs, tables: &str) -> String {
+fn to_html(logs: &Logs, tables: &str) -> String {
     let mut by_route: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
-    for line in ended(logs) {
+    for line in finished_requests(logs) {
         let took_ms = line.number("first_ms").or(line.number("took_ms"));
         if let (Some(at_ms), Some(took_ms)) = (line.day_ms(), took_ms) {
             let route = line.text("route").unwrap_or("-").to_owned();
@@ -132,12 +133,12 @@
     )
 }
 
-fn ended(logs: &Logs) -> impl Iterator<Item = &LogLine> {
+fn finished_requests(logs: &Logs) -> impl Iterator<Item = &LogLine> {
     logs.lines.iter().filter(|line| line.message == "request: Ended.")
 }
 
-fn quantile(values: &mut [u64], share: f64) -> String {
+fn quantile(values: &mut [u64], fraction: f64) -> String {
     values.sort_unstable();
-    let at = (values.len() as f64 * share) as usize;
-    values.get(at).map_or_else(|| "-".to_owned(), u64::to_string)
+    let index = (values.len() as f64 * fraction) as usize;
+    values.get(index).map_or_else(|| "-".to_owned(), u64::to_string)
 }
--- a/crates/trestlectl/src/show.rs
+++ b/crates/trestlectl/src/show.rs
@@ -1,4 +1,4 @@
-//! The file in force, and the versions before it.
+//! Prints configuration files and the history of versions.
 
 use crate::{
     apply,
@@ -9,10 +9,10 @@
 use trestle_client::platform::Platform;
 use trestle_wire::table::config_object;
 
-/// Versions that the history lists.
+/// Number of versions that the history lists.
 const HISTORY_LENGTH: u64 = 20;
 
-/// Prints a file.
+/// Prints the configuration file of a version, or the one in force; fails if there is none.
 pub(crate) async fn show(platform_url: &str, version: Option<u64>) -> Result<()> {
     let platform = Platform::new(platform_url);
     let head = match version {
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Lists the latest versions.
+/// Lists the latest versions, newest first.
 pub(crate) async fn history(platform_url: &str) -> Result<()> {
     let platform = Platform::new(platform_url);
     let latest = apply::read_head(&platform).await.context(ClientSnafu)?.version();
--- a/crates/trestlectl/src/status.rs
+++ b/crates/trestlectl/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of daemons.
+//! Fetches and prints the state of daemons.
 
 use crate::{
     error::{NoDaemonSnafu, Result},
@@ -8,10 +8,10 @@
 use trestle_client::http;
 use trestle_wire::admin::Status;
 
-/// Time for a daemon to answer.
+/// Timeout of a request to a daemon.
 const TIMEOUT_MS: u64 = 2_000;
 
-/// Prints the state of daemons.
+/// Prints the state of every daemon that answers; fails if none does.
 pub(crate) async fn print(daemons: &[String], token: Option<&str>) -> Result<()> {
     for status in fetch_all(daemons, token).await? {
         print_one(&status);
@@ -19,13 +19,13 @@
     Ok(())
 }
 
-/// The state of every daemon that answers.
+/// Fetches the state of every daemon that answers; fails if none does.
 pub(crate) async fn fetch_all(daemons: &[String], token: Option<&str>) -> Result<Vec<Status>> {
     let mut found = Vec::new();
     for address in daemons {
         match fetch(address, token).await {
             Some(status) => found.push(status),
-            None => eprintln!("trestlectl: {address} does not answer, or refuses the token"),
+            None => eprintln!("trestlectl: {address} did not answer, or rejected the token"),
         }
     }
     ensure!(!found.is_empty(), NoDaemonSnafu);
--- a/crates/trestlectl/src/trace.rs
+++ b/crates/trestlectl/src/trace.rs
@@ -1,8 +1,8 @@
-//! One request's story, from the logs of several daemons.
+//! Traces one request through the logs of several daemons.
 //!
-//! Shown are the lines of the request itself, and what its daemon believed when
-//! it came: its configuration, the list of endpoints, the leader. Lines
-//! about the request's model and endpoint shortly before and during it follow.
+//! Prints the log lines of the request, and then what its daemons knew when it
+//! arrived: the configuration, the list of endpoints, the leader. Lines about the
+//! request's model and endpoint from shortly before its arrival to its end follow.
 
 use crate::{
     error::{NoRequestSnafu, Result},
@@ -12,48 +12,52 @@
 use snafu::ensure;
 use std::path::PathBuf;
 
-/// Time before a request from which changes at engines are shown.
+/// Time before the arrival of a request from which lines about its model and endpoint are shown.
 const BEFORE_MS: u64 = 10_000;
-/// What tells of a daemon's beliefs, with a name for each kind.
-const BELIEFS: [(&str, &[&str]); 4] = [
+/// Parts of a daemon's local view: the printed name, and the messages that report a change.
+const LOCAL_VIEW: [(&str, &[&str]); 4] = [
     ("configuration", &["config:"]),
     ("list and store", &["endpoint: The list was read", "store: A table"]),
     ("leader", &["sync:"]),
     ("leads itself", &["lease: This daemon"]),
 ];
 
-/// Prints the story of a request.
+/// Prints the trace of a request; fails if no log line is about it.
 pub(crate) fn print(id: &str, paths: &[PathBuf]) -> Result<()> {
     let logs = log_line::read(paths)?;
-    let own: Vec<&LogLine> = logs.lines.iter().filter(|line| line.text("id") == Some(id)).collect();
-    ensure!(!own.is_empty(), NoRequestSnafu { id, files: paths.len() });
-    for line in &own {
+    let own_lines: Vec<&LogLine> =
+        logs.lines.iter().filter(|line| line.text("id") == Some(id)).collect();
+    ensure!(!own_lines.is_empty(), NoRequestSnafu { id, files: paths.len() });
+    for line in &own_lines {
         output::line(&format!("{} {} {}", line.time(), line.source, line.message));
         output::line(&format!("    {}", line.details()));
     }
-    let mut daemons: Vec<&str> = own.iter().map(|line| line.source.as_str()).collect();
+    let mut daemons: Vec<&str> = own_lines.iter().map(|line| line.source.as_str()).collect();
     daemons.dedup();
     for daemon in daemons {
-        print_beliefs(&logs, daemon, own[0]);
+        print_local_view(&logs, daemon, own_lines[0]);
     }
-    print_around(&logs, &own);
-    print_bad(&logs);
+    print_related(&logs, &own_lines);
+    print_unparsed(&logs);
     Ok(())
 }
 
-/// What a daemon believed when a line was written, and since when.
-fn print_beliefs(logs: &Logs, daemon: &str, first: &LogLine) {
+/// Prints the local view of a daemon at the time of a line, and how long it had been in place.
+fn print_local_view(logs: &Logs, daemon: &str, first: &LogLine) {
     output::line(&format!("\n{daemon} believed:"));
-    let began_ms = began_ms(first);
-    for (name, starts) in BELIEFS {
-        let mut earlier =
-            logs.lines.iter().filter(|line| line.source == daemon && line.at <= first.at);
-        let is_told = |line: &&LogLine| starts.iter().any(|start| line.message.starts_with(start));
-        let last = earlier.rfind(is_told);
+    let arrived_ms = arrived_ms(first);
+    for (name, prefixes) in LOCAL_VIEW {
+        let mut earlier = logs
+            .lines
+            .iter()
+            .filter(|line| line.source == daemon && line.timestamp <= first.timestamp);
+        let is_report =
+            |line: &&LogLine| prefixes.iter().any(|prefix| line.message.starts_with(prefix));
+        let last = earlier.rfind(is_report);
         let text = match last {
             None => "nothing was said yet".to_owned(),
             Some(line) => {
-                let age_ms = began_ms.saturating_sub(line.day_ms().unwrap_or(began_ms));
+                let age_ms = arrived_ms.saturating_sub(line.day_ms().unwrap_or(arrived_ms));
                 let seconds = age_ms as f64 / 1e3;
                 format!("{} {} ({seconds:.3} s before)", line.message, line.details())
             }
@@ -62,21 +66,22 @@
     }
 }
 
-/// Lines about the request's model and endpoints from shortly before to its end.
-fn print_around(logs: &Logs, own: &[&LogLine]) {
-    let value = |name: &str| own.iter().rev().find_map(|line| line.text(name));
+/// Prints lines about the request's model and endpoint, from [`BEFORE_MS`] before its arrival to
+/// its end.
+fn print_related(logs: &Logs, own_lines: &[&LogLine]) {
+    let value = |name: &str| own_lines.iter().rev().find_map(|line| line.text(name));
     let (model, endpoint) = (value("model"), value("endpoint"));
-    let from_ms = own.first().map_or(0, |line| began_ms(line)).saturating_sub(BEFORE_MS);
-    let to_ms = own.last().and_then(|line| line.day_ms()).unwrap_or(u64::MAX);
+    let from_ms = own_lines.first().map_or(0, |line| arrived_ms(line)).saturating_sub(BEFORE_MS);
+    let to_ms = own_lines.last().and_then(|line| line.day_ms()).unwrap_or(u64::MAX);
     output::line("\nmeanwhile, about its model and endpoint:");
     let mut count = 0;
     for line in &logs.lines {
         let is_about =
             |name: &str, wanted: Option<&str>| wanted.is_some() && line.text(name) == wanted;
         let is_order = line.message.starts_with("order:") || line.message.starts_with("endpoint:");
-        let is_near = line.day_ms().is_some_and(|at_ms| (from_ms..=to_ms).contains(&at_ms));
+        let is_in_range = line.day_ms().is_some_and(|at_ms| (from_ms..=to_ms).contains(&at_ms));
         let names_model = model.is_some_and(|model| line.details().contains(model));
-        if is_order && is_near && (names_model || is_about("endpoint", endpoint)) {
+        if is_order && is_in_range && (names_model || is_about("endpoint", endpoint)) {
             let details = line.details();
             output::line(&format!(
                 "    {} {} {} {details}",
@@ -92,19 +97,20 @@
     }
 }
 
-/// When the request came, by the first line about it.
-fn began_ms(line: &LogLine) -> u64 {
+/// Returns the arrival time of a request by the first line about it, in milliseconds since
+/// midnight.
+fn arrived_ms(line: &LogLine) -> u64 {
     let after_ms = line.number("took_ms").or(line.number("elapsed_ms")).unwrap_or(0);
     line.day_ms().unwrap_or(0).saturating_sub(after_ms)
 }
 
-/// Names lines that were not understood.
-pub(crate) fn print_bad(logs: &Logs) {
-    if !logs.bad.is_empty() {
-        let count = logs.bad.len();
+/// Prints the number of lines that cannot be parsed, and the position of the first.
+pub(crate) fn print_unparsed(logs: &Logs) {
+    if !logs.unparsed.is_empty() {
+        let count = logs.unparsed.len();
         output::line(&format!(
             "\nlines that were not understood: {count}, the first {}",
-            logs.bad[0]
+            logs.unparsed[0]
         ));
     }
 }
--- a/crates/trestlectl/tests/logs.rs
+++ b/crates/trestlectl/tests/logs.rs
@@ -1,17 +1,18 @@
-//! Golden files of what is told from logs. The fixtures are lines of a recorded day
-//! of the herbarium, from two daemons; one line is cut on purpose.
+//! Compares the output of `trace` and `report` with golden files. The fixtures are log lines of
+//! two daemons that ran the example configuration `herbarium`; one line is truncated to test the
+//! handling of lines that cannot be parsed.
 
 use std::process::Command;
 
 const FIRST: &str = "tests/fixtures/edge-kochi-a-1.log";
 const SECOND: &str = "tests/fixtures/edge-kochi-a-3.log";
 
-fn run(args: &[&str]) -> (bool, String) {
+fn run_trestlectl(args: &[&str]) -> (bool, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_trestlectl"))
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("trestlectl runs");
     let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
     text.push_str(&String::from_utf8_lossy(&output.stderr));
     (output.status.success(), text)
@@ -20,7 +21,7 @@
 macro_rules! golden {
     ($($name:ident => [$($arg:expr),+])+) => {
         $(#[test] fn $name() {
-            let (succeeded, text) = run(&[$($arg),+]);
+            let (succeeded, text) = run_trestlectl(&[$($arg),+]);
             assert!(succeeded, "{text}");
             insta::assert_snapshot!(text);
         })+
@@ -28,33 +29,33 @@
 }
 
 golden! {
-    a_refused_request => ["trace", "1fdc06b945b0bd82", FIRST, SECOND]
-    a_late_request => ["trace", "b6aa1659593fc7d7", FIRST, SECOND]
-    a_stream_that_broke_off => ["trace", "4a48357d84c068c3", FIRST, SECOND]
+    rejected_request => ["trace", "1fdc06b945b0bd82", FIRST, SECOND]
+    late_request => ["trace", "b6aa1659593fc7d7", FIRST, SECOND]
+    aborted_stream => ["trace", "4a48357d84c068c3", FIRST, SECOND]
     tables_of_two_logs => ["report", FIRST, SECOND]
 }
 
 #[test]
-fn a_request_that_is_in_no_log_is_said_so() {
-    let (succeeded, text) = run(&["trace", "unheard-of", FIRST]);
+fn unknown_request_id_is_an_error() {
+    let (succeeded, text) = run_trestlectl(&["trace", "unheard-of", FIRST]);
     assert!(!succeeded);
     assert!(text.contains("no line of 1 files is about request `unheard-of`"), "{text}");
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
-    let (succeeded, text) = run(&["report", "tests/fixtures/none.log"]);
+fn unreadable_file_is_named() {
+    let (succeeded, text) = run_trestlectl(&["report", "tests/fixtures/none.log"]);
     assert!(!succeeded);
     assert!(text.contains("tests/fixtures/none.log cannot be read"), "{text}");
 }
 
 #[test]
-fn a_page_with_plots_is_written() {
+fn report_writes_a_page_with_plots() {
     let page = std::env::temp_dir().join(format!("trestle-report-{}.html", std::process::id()));
-    let path = page.to_str().expect("a path of text");
-    let (succeeded, text) = run(&["report", FIRST, SECOND, "--html", path]);
+    let path = page.to_str().expect("the path is UTF-8");
+    let (succeeded, text) = run_trestlectl(&["report", FIRST, SECOND, "--html", path]);
     assert!(succeeded, "{text}");
-    let content = std::fs::read_to_string(&page).expect("the page is there");
+    let content = std::fs::read_to_string(&page).expect("the page is written");
     assert!(content.contains("<svg") && content.contains("requests, by route"));
     let _ = std::fs::remove_file(page);
 }
