--- a/crates/trestle-session/src/bin/trestle-bench.rs
+++ b/crates/trestle-session/src/bin/trestle-bench.rs
@@ -1,11 +1,11 @@
-//! Runs the measurements of `trestle_session::bench` and prints their figures; a
-//! name as the first argument runs that one alone.
+//! Runs the measurements of `trestle_session::bench` and prints their figures. The first
+//! argument, if given, names the only measurement to run.
 
 use std::process::ExitCode;
 use trestle_session::{Result, bench};
 
-/// Requests while answers are crossed and cut.
-const CROSSED_REQUESTS: usize = 100_000;
+/// Number of requests while answers are swapped, truncated and failed.
+const BAD_ANSWERS_REQUESTS: usize = 100_000;
 
 fn main() -> ExitCode {
     match run() {
@@ -22,7 +22,7 @@
     let only = std::env::args().nth(1);
     let is_wanted = |name: &str| only.as_deref().is_none_or(|only| only == name);
     if is_wanted("rest") {
-        bench::rest(&session)?;
+        bench::idle(&session)?;
     }
     if is_wanted("overhead") {
         bench::overhead(&session)?;
@@ -31,11 +31,11 @@
         bench::overload(&session)?;
     }
     if is_wanted("crossed") {
-        bench::crossed(&session, CROSSED_REQUESTS)?;
+        bench::bad_answers(&session, BAD_ANSWERS_REQUESTS)?;
     }
     if is_wanted("takeover") {
         bench::takeover(&mut session)?;
     }
-    println!("breaches seen at the far side: {}", session.breaches()?.len());
+    println!("breaches recorded by the stand-in: {}", session.breaches()?.len());
     Ok(())
 }
--- a/crates/trestle-session/src/bin/trestle-demo.rs
+++ b/crates/trestle-session/src/bin/trestle-demo.rs
@@ -1,6 +1,6 @@
-//! Shows the main job on loopback: stand-ins, seven daemons, the fleet's
-//! configuration applied, a first request to a model that is not loaded, and a
-//! burst for all models at every daemon at once.
+//! Demonstrates the system on loopback: starts the stand-in and seven daemons, applies
+//! the configuration of the example fleet, sends a first request to a model that is not
+//! loaded, and then a burst for all models to every daemon at once.
 
 use serde_json::json;
 use std::{process::ExitCode, time::Instant};
@@ -9,7 +9,7 @@
     fleet::{CONFIG, DAEMONS, PLACEMENTS},
 };
 
-/// Loads and requests take this much less time than in the example.
+/// Factor by which loads and requests are faster than in the example.
 const SPEED: f64 = 5.0;
 
 fn main() -> ExitCode {
@@ -24,21 +24,24 @@
 }
 
 fn run() -> Result<bool> {
-    println!("Starting a stand-in and {} daemons; times are {SPEED} times faster.", DAEMONS.len());
+    println!(
+        "Starting the stand-in and {} daemons; load and service times are divided by {SPEED}.",
+        DAEMONS.len()
+    );
     let plan =
         SessionPlan { config: CONFIG, daemons: &DAEMONS, speed: SPEED, intervals: json!({}) };
     let session = Session::start(&plan)?;
     print!("{}", session.apply()?);
     let started = Instant::now();
-    session.wait_for("every model placed", all_placed)?;
-    println!("Every model has its place after {:.1} s.", started.elapsed().as_secs_f64());
+    session.wait_for("every model to be placed", all_placed)?;
+    println!("Every model is placed after {:.1} s.", started.elapsed().as_secs_f64());
     let text = "Why does my scooter not unlock?";
-    let answered = session.complete("caxias-1", "riders-token", "unlock-help-1", text, 20_000)?;
+    let answer = session.complete("caxias-1", "riders-token", "unlock-help-1", text, 20_000)?;
     println!(
         "First request to a model that is not loaded: status {}, {} ms, answer `{}`.",
-        answered.status,
-        answered.took.as_millis(),
-        answered.body["choices"][0]["message"]["content"].as_str().unwrap_or(""),
+        answer.status,
+        answer.took.as_millis(),
+        answer.body["choices"][0]["message"]["content"].as_str().unwrap_or(""),
     );
     let report = burst(&session)?;
     println!(
@@ -49,10 +52,10 @@
     let counts = session.counts()?;
     println!("Loads of each model: {}", counts["loads"]);
     let breaches = session.breaches()?;
-    println!("Breaches seen by engines, services and platform: {}", breaches.len());
+    println!("Breaches recorded by engines, services and platform: {}", breaches.len());
     breaches.iter().take(10).for_each(|breach| println!("  {breach}"));
-    let is_right = report["violations"].as_array().is_some_and(Vec::is_empty);
-    Ok(is_right && breaches.is_empty() && answered.status == 200)
+    let is_correct = report["violations"].as_array().is_some_and(Vec::is_empty);
+    Ok(is_correct && breaches.is_empty() && answer.status == 200)
 }
 
 fn all_placed(session: &Session) -> bool {
@@ -79,7 +82,7 @@
             "work": {"models": {"names": names, "stream": stream}},
         })
     };
-    session.load(&json!([
+    session.run_load(&json!([
         stream("planners", "planning", for_planners, 0, true),
         stream("riders", "curb", for_riders, 500, false),
     ]))
--- a/crates/trestle-session/src/daemon_process.rs
+++ b/crates/trestle-session/src/daemon_process.rs
@@ -1,4 +1,4 @@
-//! One daemon of a session.
+//! The process of one daemon of a session.
 
 use crate::{
     error::{FileSnafu, Result},
@@ -12,20 +12,20 @@
     process::Child,
 };
 
-/// One daemon of a session.
+/// The process of one daemon of a session; killed when it is dropped.
 #[derive(Debug)]
 pub struct DaemonProcess {
-    /// Where callers reach it.
+    /// Address for callers, as `ip:port`.
     pub callers: String,
-    /// Where operators reach it.
+    /// Address for operators, as `ip:port`.
     pub admin: String,
-    settings: PathBuf,
-    log: PathBuf,
+    settings_path: PathBuf,
+    log_path: PathBuf,
     child: Option<Child>,
 }
 
 impl DaemonProcess {
-    /// Starts a daemon; `index` gives it ports of its own.
+    /// Starts a daemon; `index` selects its ports, which no other daemon of the session uses.
     pub(crate) fn start(
         dir: &Path,
         ip: &str,
@@ -42,32 +42,35 @@
             "peers_address": format!("{ip}:{}", 8201 + index), "platform_url": platform,
             "intervals": intervals,
         });
-        let settings = dir.join(format!("{vm}.jsonc"));
-        fs::write(&settings, content.to_string()).context(FileSnafu)?;
-        let log = dir.join(format!("{vm}.log"));
-        let mut daemon = Self { callers, admin, settings, log, child: None };
+        let settings_path = dir.join(format!("{vm}.jsonc"));
+        fs::write(&settings_path, content.to_string()).context(FileSnafu)?;
+        let log_path = dir.join(format!("{vm}.log"));
+        let mut daemon = Self { callers, admin, settings_path, log_path, child: None };
         daemon.restart()?;
         Ok(daemon)
     }
 
-    /// Its process id, 0 once it has ended.
+    /// Returns the process id; 0 after [`kill`](Self::kill) or [`wait`](Self::wait).
     pub fn pid(&self) -> u32 {
         self.child.as_ref().map_or(0, Child::id)
     }
 
-    /// Starts the daemon again after it has ended.
+    /// Starts the daemon again after it has stopped; its log begins anew.
     ///
     /// # Errors
     ///
     /// Fails if the program cannot be started.
     pub fn restart(&mut self) -> Result<()> {
-        let settings = self.settings.as_os_str();
-        self.child =
-            Some(process::start("trestled", &["--settings".as_ref(), settings], &self.log)?);
+        let settings_path = self.settings_path.as_os_str();
+        self.child = Some(process::start(
+            "trestled",
+            &["--settings".as_ref(), settings_path],
+            &self.log_path,
+        )?);
         Ok(())
     }
 
-    /// Ends the daemon without warning.
+    /// Kills the daemon with SIGKILL and waits until it has stopped.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -75,35 +78,36 @@
         }
     }
 
-    /// Ends the daemon without warning, without waiting for its end.
+    /// Kills the daemon with SIGKILL without waiting until it has stopped.
     pub fn kill_by_signal(&self) {
         self.signal("-KILL");
     }
 
-    /// Stops the daemon as planned; it goes on until its requests have ended.
+    /// Stops the daemon with SIGTERM; it keeps running until its requests have finished.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Waits until the daemon has ended by itself; tells whether it ended well.
+    /// Waits until the daemon has stopped; returns whether it exited successfully or was not
+    /// running.
     pub fn wait(&mut self) -> bool {
         let Some(mut child) = self.child.take() else { return true };
         child.wait().is_ok_and(|status| status.success())
     }
 
-    /// Freezes the daemon.
+    /// Freezes the daemon with SIGSTOP.
     pub fn freeze(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets a frozen daemon go on.
+    /// Resumes a frozen daemon with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// What the daemon has logged.
+    /// Returns the log since the last start; empty if it cannot be read.
     pub fn log_text(&self) -> String {
-        fs::read_to_string(&self.log).unwrap_or_default()
+        fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
     fn signal(&self, signal: &str) {
--- a/crates/trestle-session/src/error.rs
+++ b/crates/trestle-session/src/error.rs
@@ -5,50 +5,50 @@
 /// The result of a step of a session.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A step of a session failed.
+/// Why a step of a session failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// A process cannot be started; build the workspace first.
     #[snafu(display("{program} cannot be started: {source}; build the workspace first"))]
     Start {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A file of the session cannot be written.
-    #[snafu(display("a file of the session cannot be written: {source}"))]
+    /// A file or directory of the session cannot be written.
+    #[snafu(display("a file or directory of the session cannot be written: {source}"))]
     File {
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A program ended with an error.
+    /// A program exited with an error or printed no valid report.
     #[snafu(display("{program} failed: {output}"))]
     Failed {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// What it printed.
+        /// Output of the program.
         output: String,
     },
-    /// Something that was waited for did not happen.
-    #[snafu(display("{what} did not happen within {limit_ms} ms"))]
+    /// A condition did not hold within its time limit.
+    #[snafu(display("timed out after {limit_ms} ms while waiting for: {what}"))]
     TimedOut {
-        /// What was waited for.
+        /// Description of the condition.
         what: String,
-        /// How long.
+        /// The time limit in milliseconds.
         limit_ms: u64,
     },
-    /// The configuration is not in order.
+    /// The configuration is invalid.
     #[snafu(display("{source}"))]
     Config {
-        /// What is wrong with it.
+        /// The errors in the configuration.
         source: trestle_config::Error,
     },
-    /// Something did not answer.
+    /// A process of the session did not answer a request.
     #[snafu(display("{source}"))]
     Client {
-        /// Why not.
+        /// The cause.
         source: trestle_client::Error,
     },
 }
--- a/crates/trestle-session/src/fleet.rs
+++ b/crates/trestle-session/src/fleet.rs
@@ -1,9 +1,9 @@
-//! The fleet of the examples, as sessions run it.
+//! The example fleet, as used by sessions.
 
-/// Its configuration file.
+/// Content of the configuration file `examples/fleet.jsonc`.
 pub const CONFIG: &str = include_str!("../../../examples/fleet.jsonc");
 
-/// VMs of its daemons, three in one failure domain and two in each of the others.
+/// VMs of the daemons with their failure domains: three in one, and two in each of the others.
 pub const DAEMONS: [(&str, &str); 7] = [
     ("poa-centro-1", "poa-centro"),
     ("poa-centro-2", "poa-centro"),
@@ -14,5 +14,5 @@
     ("pelotas-2", "pelotas"),
 ];
 
-/// Placements that its configuration asks for.
+/// Number of placements, over all endpoints, that the configuration requires.
 pub const PLACEMENTS: usize = 60;
--- a/crates/trestle-session/src/lib.rs
+++ b/crates/trestle-session/src/lib.rs
@@ -1,9 +1,9 @@
 //! Starts whole sessions of real processes on loopback.
 //!
-//! A [`Session`] runs a stand-in, daemons and the command line as separate
-//! processes, each session on a loopback address of its own, so that many can
-//! run at once. Tests break things through it: they kill and freeze daemons and
-//! switch faults of the stand-in. The demonstration uses it too.
+//! A [`Session`] runs the stand-in, daemons and the command line as separate
+//! processes. Each session has its own loopback address, so that many sessions can
+//! run concurrently. Tests use it to kill and freeze daemons and to set faults of
+//! the stand-in; the demonstration uses it as well.
 
 pub mod bench;
 mod daemon_process;
@@ -14,4 +14,4 @@
 
 pub use daemon_process::DaemonProcess;
 pub use error::{Error, Result};
-pub use session::{Answered, Session, SessionPlan, wait_until};
+pub use session::{Answer, Session, SessionPlan, wait_until};
--- a/crates/trestle-session/src/process.rs
+++ b/crates/trestle-session/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a session.
+//! Starts and signals the processes of a session.
 
 use crate::error::{FailedSnafu, Result, StartSnafu};
 use snafu::{ResultExt, ensure};
@@ -9,11 +9,12 @@
     process::{Child, Command, Stdio},
 };
 
-/// Threads of each process that carry traffic.
-const TRAFFIC_THREADS: &str = "2";
+/// Number of executor threads of each process.
+const EXECUTOR_THREADS: &str = "2";
 
-/// Where the programs of the workspace are: beside this one, or one folder up for tests.
-pub(crate) fn program(name: &str) -> PathBuf {
+/// Returns the path of a program of the workspace: in the folder of this program, or for tests
+/// one folder above.
+pub(crate) fn program_path(name: &str) -> PathBuf {
     let mut folder = std::env::current_exe().unwrap_or_default();
     folder.pop();
     if folder.ends_with("deps") {
@@ -22,32 +23,32 @@
     folder.join(name)
 }
 
-/// Starts a program whose output goes to a log file.
+/// Starts a program and writes its output to a log file.
 pub(crate) fn start<S: AsRef<OsStr>>(name: &str, args: &[S], log: &Path) -> Result<Child> {
     let output = File::create(log).context(StartSnafu { program: name })?;
-    let errors = output.try_clone().context(StartSnafu { program: name })?;
-    Command::new(program(name))
+    let error_output = output.try_clone().context(StartSnafu { program: name })?;
+    Command::new(program_path(name))
         .args(args)
-        .env("SMOL_THREADS", TRAFFIC_THREADS)
+        .env("SMOL_THREADS", EXECUTOR_THREADS)
         .stdin(Stdio::null())
         .stdout(output)
-        .stderr(errors)
+        .stderr(error_output)
         .spawn()
         .context(StartSnafu { program: name })
 }
 
-/// Runs a program to its end and returns what it printed; fails if it does.
+/// Runs a program until it exits and returns its output; fails if the program fails.
 pub(crate) fn run<S: AsRef<OsStr>>(name: &str, args: &[S]) -> Result<String> {
     let (succeeded, output) = try_run(name, args)?;
     ensure!(succeeded, FailedSnafu { program: name, output });
     Ok(output)
 }
 
-/// Runs a program to its end; tells whether it succeeded, and what it printed.
+/// Runs a program until it exits; returns whether it succeeded, and its output.
 pub(crate) fn try_run<S: AsRef<OsStr>>(name: &str, args: &[S]) -> Result<(bool, String)> {
-    let output = Command::new(program(name))
+    let output = Command::new(program_path(name))
         .args(args)
-        .env("SMOL_THREADS", TRAFFIC_THREADS)
+        .env("SMOL_THREADS", EXECUTOR_THREADS)
         .output()
         .context(StartSnafu { program: name })?;
     let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -55,7 +56,7 @@
     Ok((output.status.success(), text))
 }
 
-/// Sends a signal to a child of this process.
+/// Sends a signal, such as `-STOP`, to a child of this process.
 pub(crate) fn signal(child: &Child, signal: &str) {
     let _ = Command::new("kill").arg(signal).arg(child.id().to_string()).status();
 }
--- a/crates/trestle-session/src/session.rs
+++ b/crates/trestle-session/src/session.rs
@@ -1,4 +1,4 @@
-//! A whole session of real processes.
+//! A session of real processes: the stand-in and daemons.
 
 use crate::{
     daemon_process::DaemonProcess,
@@ -19,32 +19,32 @@
 use trestle_config::file::ConfigFile;
 use trestle_wire::admin::Status;
 
-/// Loads that the weight store of both deployments starts in a second.
+/// Loads that the weight store starts per second, at speed 1.
 const LOADS_PER_S: f64 = 3.0;
-/// Time for one question to a process of the session.
-const QUESTION_MS: u64 = 3_000;
-/// Time between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(50);
+/// Timeout of a request to a process of the session.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a session consists of.
+/// Parameters of a session.
 #[derive(Debug, Clone)]
 pub struct SessionPlan<'a> {
-    /// The configuration file, its endpoints at 127.0.0.1.
+    /// Content of the configuration file, with endpoints at 127.0.0.1.
     pub config: &'a str,
-    /// VMs of daemons, each with its failure domain.
+    /// VMs of the daemons, each with its failure domain.
     pub daemons: &'a [(&'a str, &'a str)],
-    /// Factor by which loads and services are declared faster than in the file.
+    /// Factor by which the load and service times of the file are divided.
     pub speed: f64,
-    /// Intervals of the daemons, as in their settings.
+    /// Value of `intervals` in the settings of every daemon.
     pub intervals: Value,
 }
 
-/// A whole session of real processes, ended when it is dropped.
+/// A session of real processes, which are killed when it is dropped.
 #[derive(Debug)]
 pub struct Session {
-    /// The configuration file, its endpoints at the session's address.
+    /// Content of the configuration file, with endpoints at the session's address.
     pub config: String,
-    /// Daemons by VM.
+    /// Daemons by the name of their VM.
     pub daemons: BTreeMap<String, DaemonProcess>,
     ip: String,
     dir: PathBuf,
@@ -52,19 +52,19 @@
     intervals: Value,
 }
 
-/// An answer of a daemon.
+/// The answer of a daemon to a request.
 #[derive(Debug, Clone)]
-pub struct Answered {
+pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Body, `null` if it is not JSON.
+    /// Body; `null` if it is not JSON.
     pub body: Value,
-    /// Time it took.
+    /// Time from sending the request until the answer was complete.
     pub took: Duration,
 }
 
 impl Session {
-    /// Starts a stand-in and daemons; nothing is configured yet.
+    /// Starts the stand-in and the daemons, without applying the configuration.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
         let ip = format!("127.{}.{}.1", fastrand::u8(1..255), fastrand::u8(..));
         let dir = std::env::temp_dir().join(format!("trestle-session-{ip}"));
         fs::create_dir_all(&dir).context(FileSnafu)?;
-        let config = faster(&plan.config.replace("127.0.0.1", &ip), plan.speed)?;
+        let config = with_scaled_times(&plan.config.replace("127.0.0.1", &ip), plan.speed)?;
         let config_path = dir.join("config.jsonc");
         fs::write(&config_path, &config).context(FileSnafu)?;
         let mut args: Vec<String> = vec!["--config".into(), config_path.display().to_string()];
@@ -85,7 +85,7 @@
         let standin = process::start("trestle-standin", &args, &dir.join("standin.log"))?;
         let intervals = plan.intervals.clone();
         let mut session = Self { config, daemons: BTreeMap::new(), ip, dir, standin, intervals };
-        session.wait_for("the stand-in", |session| session.counts().is_ok())?;
+        session.wait_for("an answer of the stand-in", |session| session.counts().is_ok())?;
         for (index, (vm, domain)) in plan.daemons.iter().enumerate() {
             session.start_daemon(index, vm, domain)?;
         }
@@ -100,37 +100,47 @@
         Ok(())
     }
 
-    /// Where the platform is reached by operators.
-    pub fn platform(&self) -> String {
+    /// Returns the URL at which operators reach the platform.
+    pub fn platform_url(&self) -> String {
         format!("http://{}", platform_address(&self.ip, 0))
     }
 
-    /// Where a daemon reaches the platform, which can be cut off by itself.
-    pub fn platform_of(&self, index: usize) -> String {
+    /// Returns the address at which the daemon with an index reaches the platform.
+    ///
+    /// Each daemon has its own, so that a fault can cut off one daemon alone.
+    pub fn platform_address_of(&self, index: usize) -> String {
         platform_address(&self.ip, index + 1)
     }
 
-    /// The daemon on a VM.
+    /// Returns the daemon on a VM.
     ///
     /// # Panics
     ///
     /// If the session has no such VM.
     pub fn daemon(&mut self, vm: &str) -> &mut DaemonProcess {
-        self.daemons.get_mut(vm).expect("the session has the VM")
+        self.daemons.get_mut(vm).expect("the session has a daemon on the VM")
     }
 
-    /// Applies the session's configuration, and waits until every daemon has it.
+    /// Applies the session's configuration and waits until every daemon is ready; returns the
+    /// output of `trestlectl`.
     ///
     /// # Errors
     ///
-    /// Fails if it is not accepted, or not in force in time.
+    /// Fails if the configuration is not accepted, or not in force everywhere within 30 s.
     pub fn apply(&self) -> Result<String> {
-        let output = self.ctl(&["apply", &self.config_path(), "--platform", &self.platform()])?;
-        self.wait_for("the configuration in force", |session| session.all_ready())?;
+        let output = self.run_trestlectl(&[
+            "apply",
+            &self.config_path(),
+            "--platform",
+            &self.platform_url(),
+        ])?;
+        self.wait_for("the configuration to be in force at every daemon", |session| {
+            session.all_ready()
+        })?;
         Ok(output)
     }
 
-    /// Writes a changed configuration file, without applying it.
+    /// Replaces the configuration file, without applying it.
     ///
     /// # Errors
     ///
@@ -140,45 +150,45 @@
         fs::write(self.config_path(), config).context(FileSnafu)
     }
 
-    /// Path of the configuration file.
+    /// Returns the path of the configuration file.
     pub fn config_path(&self) -> String {
         self.dir.join("config.jsonc").display().to_string()
     }
 
-    /// Runs the operators' command line; fails if it does.
+    /// Runs `trestlectl` and returns its output.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be started or ends with an error.
-    pub fn ctl(&self, args: &[&str]) -> Result<String> {
+    /// Fails if the program cannot be started or exits with an error.
+    pub fn run_trestlectl(&self, args: &[&str]) -> Result<String> {
         process::run("trestlectl", args)
     }
 
-    /// Runs the operators' command line; tells whether it succeeded, and what it printed.
+    /// Runs `trestlectl`; returns whether it succeeded, and its output.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be started.
-    pub fn try_ctl(&self, args: &[&str]) -> Result<(bool, String)> {
+    /// Fails if the program cannot be started.
+    pub fn try_run_trestlectl(&self, args: &[&str]) -> Result<(bool, String)> {
         process::try_run("trestlectl", args)
     }
 
-    /// Runs the load tool over streams of requests to all daemons and returns its report.
+    /// Runs the load tool with streams of requests to all daemons; returns its report.
     ///
     /// # Errors
     ///
-    /// Fails if the tool cannot be started.
-    pub fn load(&self, streams: &Value) -> Result<Value> {
+    /// Fails if the plan cannot be written, or the tool cannot be started or prints no report.
+    pub fn run_load(&self, streams: &Value) -> Result<Value> {
         let targets: Vec<&str> = self.daemons.values().map(|d| d.callers.as_str()).collect();
-        self.load_at(&targets, streams)
+        self.run_load_at(&targets, streams)
     }
 
-    /// The same, to the targets given.
+    /// Runs the load tool with streams of requests to the given targets; returns its report.
     ///
     /// # Errors
     ///
-    /// Fails if the tool cannot be started.
-    pub fn load_at(&self, targets: &[&str], streams: &Value) -> Result<Value> {
+    /// Fails if the plan cannot be written, or the tool cannot be started or prints no report.
+    pub fn run_load_at(&self, targets: &[&str], streams: &Value) -> Result<Value> {
         let plan = json!({"targets": targets, "streams": streams});
         let path = self.dir.join(format!("plan-{:08x}.jsonc", fastrand::u32(..)));
         fs::write(&path, plan.to_string()).context(FileSnafu)?;
@@ -201,7 +211,7 @@
         model: &str,
         text: &str,
         deadline_ms: u64,
-    ) -> Result<Answered> {
+    ) -> Result<Answer> {
         let message = json!({"role": "user", "content": text});
         let body = json!({"model": model, "messages": [message]}).to_string();
         let headers = [("trestle-deadline-ms", deadline_ms.to_string())];
@@ -220,7 +230,7 @@
         path: &str,
         headers: &[(&'static str, String)],
         body: String,
-    ) -> Result<Answered> {
+    ) -> Result<Answer> {
         let url = format!("http://{}{path}", self.daemons[vm].callers);
         let mut conn = http::single_use_client().post(url).with_body(body);
         conn = conn.with_request_header("authorization", format!("Bearer {token}"));
@@ -231,10 +241,10 @@
         let exchange = http::exchange(conn, 120_000);
         let (status, body) = smol::block_on(exchange).context(ClientSnafu)?;
         let body = serde_json::from_slice(&body).unwrap_or_default();
-        Ok(Answered { status, body, took: started.elapsed() })
+        Ok(Answer { status, body, took: started.elapsed() })
     }
 
-    /// The state of a daemon.
+    /// Fetches the state of a daemon.
     ///
     /// # Errors
     ///
@@ -242,10 +252,10 @@
     pub fn status(&self, vm: &str) -> Result<Status> {
         let url = format!("http://{}/status", self.daemons[vm].admin);
         let client = http::single_use_client();
-        smol::block_on(http::get_json(&client, &url, QUESTION_MS)).context(ClientSnafu)
+        smol::block_on(http::get_json(&client, &url, REQUEST_TIMEOUT_MS)).context(ClientSnafu)
     }
 
-    /// Metrics of a daemon, as text.
+    /// Fetches the metrics of a daemon, as text.
     ///
     /// # Errors
     ///
@@ -253,29 +263,30 @@
     pub fn metrics(&self, vm: &str) -> Result<String> {
         let url = format!("http://{}/metrics", self.daemons[vm].admin);
         let conn = http::single_use_client().get(url);
-        let (_, body) = smol::block_on(http::exchange(conn, QUESTION_MS)).context(ClientSnafu)?;
+        let (_, body) =
+            smol::block_on(http::exchange(conn, REQUEST_TIMEOUT_MS)).context(ClientSnafu)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// What the stand-in has counted.
+    /// Fetches the event counts of the stand-in.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer.
+    /// Fails if the stand-in does not answer.
     pub fn counts(&self) -> Result<Value> {
         self.control("counts", None)
     }
 
-    /// Every breach that the stand-in has seen.
+    /// Fetches all breaches, that is violated invariants, that the stand-in has recorded.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer.
+    /// Fails if the stand-in does not answer.
     pub fn breaches(&self) -> Result<Vec<Value>> {
         Ok(self.control("breaches", None)?.as_array().cloned().unwrap_or_default())
     }
 
-    /// Runs of each idempotency key at plain services.
+    /// Fetches how often calls ran at plain services, by service and idempotency key.
     ///
     /// # Errors
     ///
@@ -284,34 +295,35 @@
         self.control("keys", None)
     }
 
-    /// Switches faults of the stand-in; those left out are switched off.
+    /// Sets the faults of the stand-in; faults that are left out are cleared.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer or does not know a fault.
-    pub fn faults(&self, faults: &Value) -> Result<()> {
+    /// Fails if the stand-in does not answer or does not know a fault.
+    pub fn set_faults(&self, faults: &Value) -> Result<()> {
         self.control("faults", Some(faults)).map(drop)
     }
 
-    /// Changes the platform's list of VMs.
+    /// Changes states in the platform's list of VMs; `null` removes a VM.
     ///
     /// # Errors
     ///
     /// Fails if the stand-in does not answer.
-    pub fn vms(&self, changes: &Value) -> Result<()> {
+    pub fn update_vms(&self, changes: &Value) -> Result<()> {
         self.control("vms", Some(changes)).map(drop)
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition of the session holds.
     ///
     /// # Errors
     ///
-    /// Fails if it does not hold in time.
+    /// Fails if the condition does not hold within 30 s.
     pub fn wait_for(&self, what: &str, condition: impl Fn(&Self) -> bool) -> Result<()> {
         wait_until(what, 30_000, || condition(self))
     }
 
-    /// The endpoint, owner's VM and state for which a model is placed, by status of all daemons.
+    /// Returns each endpoint where a model is placed, with the VM of its owner, as the daemons
+    /// report them.
     pub fn owners_of(&self, model: &str) -> Vec<(String, String)> {
         let mut found = Vec::new();
         for vm in self.daemons.keys() {
@@ -325,7 +337,8 @@
         found
     }
 
-    /// Where an engine is reached at which the model is placed, as `ip:port`.
+    /// Returns the address, as `ip:port`, of an engine where a model is placed; empty if there is
+    /// none.
     pub fn engine_address(&self, model: &str) -> String {
         let endpoint = self.owners_of(model).first().map(|(endpoint, _)| endpoint.clone());
         let file = trestle_config::read_jsonc::<ConfigFile>(&self.config, "configuration").ok();
@@ -341,13 +354,13 @@
     fn control(&self, what: &str, body: Option<&Value>) -> Result<Value> {
         let url = format!("http://{}:7900/{what}", self.ip);
         let client = http::single_use_client();
-        let asked = async {
+        let response = async {
             match body {
-                Some(body) => http::post_json(&client, &url, body, QUESTION_MS).await,
-                None => http::get_json(&client, &url, QUESTION_MS).await,
+                Some(body) => http::post_json(&client, &url, body, REQUEST_TIMEOUT_MS).await,
+                None => http::get_json(&client, &url, REQUEST_TIMEOUT_MS).await,
             }
         };
-        smol::block_on(asked).context(ClientSnafu)
+        smol::block_on(response).context(ClientSnafu)
     }
 }
 
@@ -362,23 +375,23 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; `what` describes it in the error.
 ///
 /// # Errors
 ///
-/// Fails if it does not hold in time.
+/// Fails if the condition does not hold within `limit_ms`.
 pub fn wait_until(what: &str, limit_ms: u64, condition: impl Fn() -> bool) -> Result<()> {
     let started = Instant::now();
     while !condition() {
-        let is_over = started.elapsed() > Duration::from_millis(limit_ms);
-        ensure!(!is_over, TimedOutSnafu { what, limit_ms });
-        thread::sleep(LOOK);
+        let is_timed_out = started.elapsed() > Duration::from_millis(limit_ms);
+        ensure!(!is_timed_out, TimedOutSnafu { what, limit_ms });
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// The configuration with all times of loads and services divided.
-fn faster(config: &str, speed: f64) -> Result<String> {
+/// Returns the configuration with all load and service times divided by `speed`, rounded up.
+fn with_scaled_times(config: &str, speed: f64) -> Result<String> {
     let mut file: ConfigFile =
         trestle_config::read_jsonc(config, "configuration").context(ConfigSnafu)?;
     for model in file.models.values_mut() {
--- a/crates/trestle-session/tests/common/mod.rs
+++ b/crates/trestle-session/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the session tests share.
+//! Helpers that the session tests share.
 
-#![allow(dead_code, reason = "each test file uses some of it")]
+#![allow(dead_code, reason = "each test program uses only some helpers")]
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -9,20 +9,22 @@
     fleet::{CONFIG, DAEMONS, PLACEMENTS},
 };
 
-/// Starts the fleet with short intervals, its configuration applied and every model placed.
+/// Starts the example fleet with short intervals, applies its configuration, and waits until every
+/// model is placed and ownership is settled.
 pub(crate) fn fleet(speed: f64) -> Session {
     let plan =
         SessionPlan { config: CONFIG, daemons: &DAEMONS, speed, intervals: short_intervals() };
     let session = Session::start(&plan).expect("the session starts");
     session.apply().expect("the configuration is accepted");
-    session.wait_for("every model placed", all_placed).expect("every model is placed");
-    session.wait_for("settled ownership", is_settled).expect("ownership settles");
+    session.wait_for("every model to be placed", all_placed).expect("every model is placed");
+    session.wait_for("ownership to settle", is_settled).expect("ownership settles");
     session
 }
 
-/// Whether every daemon is a member of its domain in the same epoch, and every endpoint has
-/// one owner whose orders it accepts. Models are placed as soon as each domain has a first
-/// daemon; endpoints change hands while the others join.
+/// Returns whether all daemons of each domain are its members in the same epoch, and every
+/// endpoint has exactly one owner, which the endpoint has confirmed. Placed models do not imply
+/// this: models are placed as soon as each domain has a first daemon, and endpoints change owners
+/// while the other daemons join.
 pub(crate) fn is_settled(session: &Session) -> bool {
     let statuses: Vec<_> = session.daemons.keys().map(|vm| session.status(vm)).collect();
     let Ok(statuses) = statuses.into_iter().collect::<Result<Vec<_>, _>>() else { return false };
@@ -39,7 +41,7 @@
     all_joined && owners.values().all(|confirmed| confirmed == &[true])
 }
 
-/// Intervals that let a test see in seconds what takes longer in operation.
+/// Returns intervals that are shorter than in operation, so that tests take seconds.
 pub(crate) fn short_intervals() -> Value {
     json!({
         "config_poll_ms": 200, "vm_list_ms": 200, "lease_ms": 500, "expiry_ms": 2500,
@@ -47,7 +49,8 @@
     })
 }
 
-/// Whether every model is placed, and every successor has read where.
+/// Returns whether every model is placed, and all daemons agree on the number of placements at
+/// each endpoint.
 fn all_placed(session: &Session) -> bool {
     let statuses = session.daemons.keys().filter_map(|vm| session.status(vm).ok());
     let mut placed: BTreeMap<String, Vec<usize>> = BTreeMap::new();
@@ -58,14 +61,14 @@
     all_agree && placements(session) >= PLACEMENTS
 }
 
-/// Placements of all owned endpoints.
+/// Returns the number of placements that the owners of all endpoints report.
 pub(crate) fn placements(session: &Session) -> usize {
     let statuses = session.daemons.keys().filter_map(|vm| session.status(vm).ok());
     let endpoints = statuses.flat_map(|status| status.endpoints.into_values());
     endpoints.filter(|state| state.role == "owner").map(|state| state.placed.len()).sum()
 }
 
-/// A stream of completions for the load tool.
+/// Returns a stream of completions for the load tool.
 pub(crate) fn completions(names: &[String], requests: usize, over_ms: u64) -> Value {
     json!({
         "tenant": "riders", "token": "riders-token", "class": "curb", "requests": requests,
@@ -74,13 +77,13 @@
     })
 }
 
-/// Fails if an engine, a service or the platform has seen a breach.
+/// Fails if the stand-in has recorded a breach, that is a violated invariant.
 pub(crate) fn assert_no_breach(session: &Session) {
     let breaches = session.breaches().expect("the stand-in answers");
     assert!(breaches.is_empty(), "breaches: {breaches:#?}");
 }
 
-/// Fails if the load tool has seen a violation.
+/// Fails if the report of the load tool holds a violation.
 pub(crate) fn assert_no_violation(report: &Value) {
     let violations = report["violations"].as_array().expect("a report has violations");
     assert!(violations.is_empty(), "violations: {violations:#?}");
@@ -94,7 +97,7 @@
     assert_eq!(verdicts(report, "done"), requests, "{counts:?}");
 }
 
-/// How many requests of a report ended with a verdict.
+/// Returns how many requests of a report have a verdict that starts with `name`.
 pub(crate) fn verdicts(report: &Value, name: &str) -> u64 {
     let groups = report["groups"].as_array().expect("a report has groups");
     let counts = groups.iter().flat_map(|group| group["verdicts"].as_object());
--- a/crates/trestle-session/tests/configuration.rs
+++ b/crates/trestle-session/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration files, as operators meet them: golden output of whole sessions,
-//! races and lost answers.
+//! Handling of configuration files: golden output of `trestlectl`, concurrent applies, and lost
+//! answers of the platform.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use std::{fmt::Write, thread, time::Duration};
 use trestle_session::{Session, SessionPlan, fleet::CONFIG};
 
-/// A session with two daemons and nothing applied.
-fn small() -> Session {
+/// Starts a session with two daemons, without applying its configuration.
+fn start_small() -> Session {
     let daemons = [("poa-centro-1", "poa-centro"), ("caxias-1", "caxias")];
     let plan = SessionPlan {
         config: CONFIG,
@@ -20,8 +20,8 @@
     Session::start(&plan).expect("the session starts")
 }
 
-/// The output without what differs from run to run.
-fn stable(session: &Session, output: &str) -> String {
+/// Removes the parts of an output that differ between runs: the folder, and ids and digests.
+fn normalize(session: &Session, output: &str) -> String {
     let folder = session.config_path().replace("config.jsonc", "");
     let text = output.replace(&folder, "");
     let is_id = |word: &str| {
@@ -30,24 +30,24 @@
     };
     let lines = text.lines().map(|line| {
         let words = line.split_inclusive([' ', '\t']);
-        let stable = words.map(|word| if is_id(word.trim()) { "ID " } else { word });
-        stable.collect::<String>().trim_end().to_owned()
+        let normalized = words.map(|word| if is_id(word.trim()) { "ID " } else { word });
+        normalized.collect::<String>().trim_end().to_owned()
     });
     lines.collect::<Vec<_>>().join("\n")
 }
 
 #[test]
 fn an_operators_session() {
-    let mut session = small();
-    let platform = session.platform();
+    let mut session = start_small();
+    let platform = session.platform_url();
     let path = session.config_path();
     let mut transcript = String::new();
     let mut run = |session: &Session, args: &[&str]| {
-        let (succeeded, output) = session.try_ctl(args).expect("trestlectl runs");
+        let (succeeded, output) = session.try_run_trestlectl(args).expect("trestlectl runs");
         let shown: Vec<&str> =
             args.iter().map(|arg| if *arg == path { "FILE" } else { arg }).collect();
         let shown = shown.join(" ").replace(&platform, "URL");
-        let _ = writeln!(transcript, "$ trestlectl {shown}\n{}", stable(session, &output));
+        let _ = writeln!(transcript, "$ trestlectl {shown}\n{}", normalize(session, &output));
         let _ = writeln!(transcript, "[{}]\n", if succeeded { "succeeded" } else { "failed" });
     };
     run(&session, &["show", "--platform", &platform]);
@@ -58,8 +58,8 @@
     let apply = ["apply", &path, "--platform", &platform, "--author", "bia"];
     run(&session, &[&apply[..], &["--expect-version", "1"]].concat());
     run(&session, &[&apply[..], &["--expect-version", "1"]].concat());
-    let broken = changed.replacen("\"max_replicas\": 1", "\"max_replicas\": 0", 2);
-    session.write_config(&broken.replacen("\"caxias\"", "\"\"", 1)).expect("the file is written");
+    let invalid = changed.replacen("\"max_replicas\": 1", "\"max_replicas\": 0", 2);
+    session.write_config(&invalid.replacen("\"caxias\"", "\"\"", 1)).expect("the file is written");
     run(&session, &["check", &path]);
     session.write_config("{ \"classes\": {}, ").expect("the file is written");
     run(&session, &["apply", &path, "--platform", &platform]);
@@ -71,67 +71,69 @@
 }
 
 #[test]
-fn racing_operators_one_wins_and_the_others_are_told() {
-    let session = small();
+fn exactly_one_of_concurrent_applies_succeeds() {
+    let session = start_small();
     session.apply().expect("the first file is accepted");
-    let (platform, path) = (session.platform(), session.config_path());
+    let (platform, path) = (session.platform_url(), session.config_path());
     let outcomes: Vec<(bool, String)> = thread::scope(|scope| {
-        let racing: Vec<_> = (0..6)
+        let applies: Vec<_> = (0..6)
             .map(|index| {
                 let (session, platform, path) = (&session, &platform, &path);
                 scope.spawn(move || {
                     let author = format!("operator-{index}");
                     let args = ["apply", path, "--platform", platform, "--author", &author];
                     let args = [&args[..], &["--expect-version", "1"]].concat();
-                    session.try_ctl(&args).expect("trestlectl runs")
+                    session.try_run_trestlectl(&args).expect("trestlectl runs")
                 })
             })
             .collect();
-        racing.into_iter().map(|racing| racing.join().expect("it ends")).collect()
+        applies.into_iter().map(|apply| apply.join().expect("the command ends")).collect()
     });
-    let winners = outcomes.iter().filter(|(succeeded, _)| *succeeded).count();
-    assert_eq!(winners, 1, "{outcomes:#?}");
+    let successes = outcomes.iter().filter(|(succeeded, _)| *succeeded).count();
+    assert_eq!(successes, 1, "{outcomes:#?}");
     for (_, output) in outcomes.iter().filter(|(succeeded, _)| !succeeded) {
         assert!(output.contains("version 2 by operator-"), "{output}");
     }
 }
 
 #[test]
-fn an_apply_whose_answer_was_lost_is_read_back() {
-    let session = small();
-    session.faults(&json!({"platform": {"lose_answers": 1}})).expect("faults are switched");
+fn apply_with_lost_answer_is_read_back() {
+    let session = start_small();
+    session.set_faults(&json!({"platform": {"lose_answers": 1}})).expect("the faults are set");
     let output = session.apply().expect("the file is accepted");
     assert!(output.contains("version 1 is accepted"), "{output}");
 }
 
 #[test]
-fn a_cut_off_daemon_catches_up_from_peers_and_never_goes_back() {
+fn isolated_daemon_gets_the_version_from_peers_and_never_an_older_one() {
     let mut session = fleet(20.0);
-    // The daemon cannot read the platform; its peers can.
-    let address = session.platform_of(3);
-    session.faults(&json!({"platform": {"cut": [address]}})).expect("faults are switched");
+    // The daemon `caxias-1` cannot read the platform; its peers can.
+    let address = session.platform_address_of(3);
+    session.set_faults(&json!({"platform": {"cut": [address]}})).expect("the faults are set");
     let changed = session.config.replace("\"slots\": 16", "\"slots\": 12");
     session.write_config(&changed).expect("the file is written");
-    let (platform, path) = (session.platform(), session.config_path());
-    session.ctl(&["apply", &path, "--platform", &platform]).expect("the file is accepted");
+    let (platform, path) = (session.platform_url(), session.config_path());
+    session
+        .run_trestlectl(&["apply", &path, "--platform", &platform])
+        .expect("the file is accepted");
     let is_at = |session: &Session, vm: &str, version| {
         session.status(vm).is_ok_and(|status| status.config_version == version)
     };
     session
-        .wait_for("version 2 everywhere", |session| {
+        .wait_for("version 2 at every daemon", |session| {
             session.daemons.keys().all(|vm| is_at(session, vm, 2))
         })
-        .expect("the cut-off daemon learns from its peers");
-    session.faults(&json!({"platform": {"down": true}})).expect("faults are switched");
-    let replaced = session.daemon("caxias-1");
-    replaced.kill();
-    replaced.restart().expect("the daemon starts again");
+        .expect("the daemon without the platform gets version 2 from its peers");
+    session.set_faults(&json!({"platform": {"down": true}})).expect("the faults are set");
+    let restarted = session.daemon("caxias-1");
+    restarted.kill();
+    restarted.restart().expect("the daemon starts again");
     thread::sleep(Duration::from_secs(1));
-    let status = session.status("caxias-1").expect("it answers");
+    let status = session.status("caxias-1").expect("the daemon answers");
     assert!(!status.ready, "a daemon without a configuration is not ready");
-    session.faults(&json!({})).expect("faults are switched");
+    session.set_faults(&json!({})).expect("the faults are set");
     session
-        .wait_for("the replaced daemon ready", |session| is_at(session, "caxias-1", 2))
-        .expect("it learns the version in force");
+        .wait_for("version 2 at the restarted daemon", |session| is_at(session, "caxias-1", 2))
+        .expect("the restarted daemon gets the version in force");
     assert_no_breach(&session);
 }
--- a/crates/trestle-session/tests/input.rs
+++ b/crates/trestle-session/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error and leaves the daemon serving.
+//! Tests that invalid or excessive input gets a clear error and the daemon keeps serving.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const TOKEN: &str = "riders-token";
 
-/// A request that is wrong in one way, and what has to come of it.
+/// An invalid request and the expected error.
 struct Case {
     name: &'static str,
     token: &'static str,
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn bad_input_gets_a_clear_error() {
+fn invalid_input_gets_a_clear_error() {
     let session = fleet(20.0);
     for case in cases() {
-        let answered =
+        let answer =
             session.post("caxias-1", case.token, case.path, &case.headers, case.body.clone());
-        let answered = answered.unwrap_or_else(|error| panic!("{}: {error}", case.name));
-        let error = &answered.body["error"];
-        assert_eq!(answered.status, case.status, "{}: {}", case.name, answered.body);
+        let answer = answer.unwrap_or_else(|error| panic!("{}: {error}", case.name));
+        let error = &answer.body["error"];
+        assert_eq!(answer.status, case.status, "{}: {}", case.name, answer.body);
         assert_eq!(error["code"], case.code, "{}", case.name);
         assert_eq!(error["outcome"], "not_run", "{}", case.name);
         assert!(error["message"].as_str().is_some_and(|text| text.len() > 10), "{}", case.name);
@@ -86,20 +86,21 @@
     assert_no_breach(&session);
 }
 
-/// A refusal because of a deadline says when to come back, and comes at once.
+/// A request whose deadline is too close for a load is rejected without waiting, with a time
+/// after which to retry.
 #[test]
-fn a_refusal_comes_at_once_with_the_time_to_come_back() {
+fn rejection_is_immediate_with_a_retry_time() {
     let session = fleet(1.0);
     let started = Instant::now();
-    let answered = session.complete("caxias-1", TOKEN, "depot-planner-1", "soon", 3_000);
-    let answered = answered.expect("the daemon answers");
-    assert_eq!(answered.body["error"]["code"], "deadline_too_close", "{}", answered.body);
-    assert!(answered.body["error"]["retry_after_ms"].as_u64().is_some_and(|ms| ms > 0));
-    assert!(started.elapsed() < Duration::from_millis(2_500), "it was held back");
+    let answer = session.complete("caxias-1", TOKEN, "depot-planner-1", "soon", 3_000);
+    let answer = answer.expect("the daemon answers");
+    assert_eq!(answer.body["error"]["code"], "deadline_too_close", "{}", answer.body);
+    assert!(answer.body["error"]["retry_after_ms"].as_u64().is_some_and(|ms| ms > 0));
+    assert!(started.elapsed() < Duration::from_millis(2_500), "the rejection came late");
 }
 
 #[test]
-fn slow_callers_do_not_keep_others_waiting() {
+fn slow_callers_do_not_block_others() {
     let session = fleet(20.0);
     let address = session.daemons["caxias-1"].callers.clone();
     let mut slow: Vec<TcpStream> = Vec::new();
@@ -116,17 +117,17 @@
     assert_serves(&session);
     let mut answer = String::new();
     let mut first = slow.remove(0);
-    first.set_read_timeout(Some(Duration::from_secs(15))).expect("a time-out is set");
+    first.set_read_timeout(Some(Duration::from_secs(15))).expect("the timeout is set");
     let _ = first.read_to_string(&mut answer);
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(answer.contains("slow_body"), "{answer}");
 }
 
 #[test]
-fn models_and_adapters_are_listed_and_served() {
+fn adapters_are_served_and_metrics_listed() {
     let session = fleet(20.0);
-    let answered = session.complete("caxias-1", TOKEN, "city-01", "adapted", 20_000);
-    assert_eq!(answered.expect("the daemon answers").status, 200);
+    let answer = session.complete("caxias-1", TOKEN, "city-01", "adapted", 20_000);
+    assert_eq!(answer.expect("the daemon answers").status, 200);
     let metrics = session.metrics("caxias-1").expect("metrics are served");
     for wanted in
         ["trestle_request_ms", "trestle_cold_wait_ms", "tenant=\"riders\"", "class=\"curb\""]
@@ -136,66 +137,67 @@
 }
 
 fn assert_serves(session: &Session) {
-    let answered = session.complete("caxias-1", TOKEN, "unlock-help-1", "still there", 20_000);
-    let answered = answered.expect("the daemon answers");
-    let content: &Value = &answered.body["choices"][0]["message"]["content"];
-    assert_eq!((answered.status, content.as_str()), (200, Some("still there")));
+    let answer = session.complete("caxias-1", TOKEN, "unlock-help-1", "still there", 20_000);
+    let answer = answer.expect("the daemon answers");
+    let content: &Value = &answer.body["choices"][0]["message"]["content"];
+    assert_eq!((answer.status, content.as_str()), (200, Some("still there")));
 }
 
-/// Bodies of the flood, 100 MiB in all.
-const FLOOD_BODIES: usize = 100;
-/// Announced size of each body of the flood; what is sent is at least one byte short, so
-/// that the daemon goes on holding it.
-const FLOOD_BODY_BYTES: usize = 1 << 20;
-/// What is held in addition at a time until nothing more fits.
+/// Number of large bodies, 100 MiB in all.
+const LARGE_BODIES: usize = 100;
+/// Announced size of each large body. At least one byte less is sent, so that the daemon keeps
+/// holding the body.
+const LARGE_BODY_BYTES: usize = 1 << 20;
+/// Size by which the held bytes grow at a time, until nothing more fits.
 const TOP_UP_BYTES: usize = 16 << 10;
-/// Size of the request that is refused in the end. A body that is refused gives back what
-/// was held of it, so a flood that was read in parallel leaves room at its end; top-ups
-/// leave less room than this.
+/// Size of the request that is rejected in the end. A rejected body releases the bytes that were
+/// held of it, so large bodies that are read in parallel leave room in the end; the top-ups leave
+/// less room than this.
 const PROBE_BYTES: usize = 32 << 10;
-/// Top-ups after which the daemon should have refused: room for more than four whole bodies.
-const MOST_TOP_UPS: usize = 256;
+/// Number of top-ups after which the daemon must have rejected a request: more than four large
+/// bodies.
+const MAX_TOP_UPS: usize = 256;
 
-/// Many large bodies at once are refused beyond a limit, and memory stays bounded.
+/// Beyond a limit, the daemon rejects concurrent large bodies, so that its memory stays bounded.
 #[test]
-fn a_flood_of_large_bodies_is_refused_beyond_a_limit() {
+fn large_bodies_are_rejected_beyond_a_limit() {
     let session = fleet(20.0);
     let mut open: Vec<TcpStream> =
-        (0..FLOOD_BODIES).map(|_| hold_body(&session, FLOOD_BODY_BYTES - 1)).collect();
+        (0..LARGE_BODIES).map(|_| hold_body(&session, LARGE_BODY_BYTES - 1)).collect();
     let text = "x".repeat(PROBE_BYTES);
-    let refused = (0..MOST_TOP_UPS).find_map(|_| {
-        let answered = session.complete("caxias-1", TOKEN, "unlock-help-1", &text, 20_000);
-        let answered = answered.expect("the daemon answers");
-        if answered.status != 200 {
-            return Some(answered);
+    let rejected = (0..MAX_TOP_UPS).find_map(|_| {
+        let answer = session.complete("caxias-1", TOKEN, "unlock-help-1", &text, 20_000);
+        let answer = answer.expect("the daemon answers");
+        if answer.status != 200 {
+            return Some(answer);
         }
         open.push(hold_body(&session, TOP_UP_BYTES));
         None
     });
-    let refused = refused.expect("bodies are held without a limit");
-    assert_eq!(refused.body["error"]["code"], "too_many_bytes", "{}", refused.body);
+    let rejected = rejected.expect("the daemon holds bodies without a limit");
+    assert_eq!(rejected.body["error"]["code"], "too_many_bytes", "{}", rejected.body);
     let pid = session.daemons["caxias-1"].pid();
-    let resident = trestle_session::bench::memory_kib(pid);
-    assert!(resident < 200 << 10, "the daemon holds {resident} KiB");
+    let resident_kib = trestle_session::bench::memory_kib(pid);
+    assert!(resident_kib < 200 << 10, "the daemon holds {resident_kib} KiB");
     drop(open);
     session
-        .wait_for("room for bodies again", |session| {
-            let answered = session.complete("caxias-1", TOKEN, "unlock-help-1", &text, 20_000);
-            answered.is_ok_and(|answered| answered.status == 200)
+        .wait_for("room for bodies", |session| {
+            let answer = session.complete("caxias-1", TOKEN, "unlock-help-1", &text, 20_000);
+            answer.is_ok_and(|answer| answer.status == 200)
         })
         .expect("the daemon serves again");
 }
 
-/// Sends the beginning of a body, which the daemon holds until the connection is dropped.
+/// Sends the beginning of a body, which the daemon holds until the connection is closed.
 fn hold_body(session: &Session, sent_bytes: usize) -> TcpStream {
     let address = &session.daemons["caxias-1"].callers;
     let mut stream = TcpStream::connect(address).expect("the daemon listens");
     let head = format!(
         "POST {CHAT} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {TOKEN}\r\n\
-         content-length: {FLOOD_BODY_BYTES}\r\n\r\n"
+         content-length: {LARGE_BODY_BYTES}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).expect("the head is sent");
-    // The daemon may refuse before it has read everything.
+    // The daemon may reject the request before it has read everything.
     let _ = stream.write_all("x".repeat(sent_bytes).as_bytes());
     stream
 }
--- a/crates/trestle-session/tests/under_load.rs
+++ b/crates/trestle-session/tests/under_load.rs
@@ -1,4 +1,4 @@
-//! Bursts with something failing in the middle, and a load that is far too high.
+//! Bursts of requests with faults in the middle, and a load far above capacity.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use std::{thread, time::Duration};
 use trestle_session::{Session, bench};
 
-/// The daemon that fails; requests go to the others, as behind a balancer.
+/// The daemon that fails; requests go to the others, as behind a load balancer.
 const VICTIM: &str = "poa-centro-2";
-const CALLS: u64 = 120;
+const CALL_REQUESTS: u64 = 120;
 
-/// What fails while the requests run.
+/// A fault that occurs while the requests run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Kill,
@@ -27,7 +27,7 @@
         $(
             #[test]
             fn $name() {
-                burst_with(&$faults);
+                burst_with_faults(&$faults);
             }
         )+
     };
@@ -55,7 +55,7 @@
     };
     let calls = json!({
         "tenant": "mechanics", "token": "mechanics-token", "class": "desk",
-        "requests": CALLS, "over_ms": 6_000, "deadline_ms": 5_000,
+        "requests": CALL_REQUESTS, "over_ms": 6_000, "deadline_ms": 5_000,
         "work": {"calls": {
             "path": "/services/tickets/swap", "key_header": "idempotency-key",
             "key_prefix": "swap", "ask_again": 6,
@@ -64,7 +64,7 @@
     json!([models("riders", "curb", false), models("planners", "planning", true), calls])
 }
 
-fn burst_with(kinds: &[Fault]) {
+fn burst_with_faults(kinds: &[Fault]) {
     let session = fleet(10.0);
     let targets: Vec<&str> = session
         .daemons
@@ -73,30 +73,33 @@
         .map(|(_, daemon)| daemon.callers.as_str())
         .collect();
     let report = thread::scope(|scope| {
-        let (loading, targets) = (&session, &targets);
-        let load = scope.spawn(move || loading.load_at(targets, &streams()));
+        let (session_ref, targets) = (&session, &targets);
+        let load = scope.spawn(move || session_ref.run_load_at(targets, &streams()));
         thread::sleep(Duration::from_secs(2));
-        begin(&session, kinds);
+        inject(&session, kinds);
         thread::sleep(Duration::from_secs(3));
-        session.faults(&json!({})).expect("faults are switched");
+        session.set_faults(&json!({})).expect("the faults are set");
         session.daemons[VICTIM].resume();
         load.join().expect("the load tool ends").expect("the load tool runs")
     });
     assert_no_violation(&report);
     assert_no_breach(&session);
-    let done_calls = report["groups"].as_array().expect("groups").iter();
-    let mut done_calls = done_calls.filter(|group| group["tenant"] == "mechanics");
-    let calls = done_calls.next().expect("the calls are reported");
+    let call_groups = report["groups"].as_array().expect("groups").iter();
+    let mut call_groups = call_groups.filter(|group| group["tenant"] == "mechanics");
+    let calls = call_groups.next().expect("the calls are reported");
     let count = |name: &str| calls["verdicts"][name].as_u64().unwrap_or(0);
     let unknown = count("unknown:outcome_unknown");
     let runs = session.runs_by_key().expect("runs").as_object().map_or(0, |runs| runs.len() as u64);
     let done = count("done");
     assert!(done <= runs && runs <= done + unknown, "{runs} runs, {done} done, {unknown} unknown");
     let answered = verdicts(&report, "done");
-    assert!(answered * 10 >= (600 + CALLS) * 7, "only {answered} were answered: {report:#}");
+    assert!(
+        answered * 10 >= (600 + CALL_REQUESTS) * 7,
+        "only {answered} requests were answered: {report:#}"
+    );
 }
 
-fn begin(session: &Session, kinds: &[Fault]) {
+fn inject(session: &Session, kinds: &[Fault]) {
     let mut faults = json!({});
     for kind in kinds {
         match kind {
@@ -113,17 +116,18 @@
             }
         }
     }
-    session.faults(&faults).expect("faults are switched");
+    session.set_faults(&faults).expect("the faults are set");
 }
 
-/// Requests of the flood, ten times what the engine can serve while they are sent.
-const FLOOD: u64 = 4_000;
-/// Urgent requests beside it.
-const URGENT: u64 = 50;
+/// Number of requests of the class `patient`: ten times what the engine can serve while they
+/// are sent.
+const PATIENT_REQUESTS: u64 = 4_000;
+/// Number of requests of the class `urgent`, sent at the same time.
+const URGENT_REQUESTS: u64 = 50;
 
-/// At ten times the load every request ends once, with its own whole answer or a refusal,
-/// and every urgent one is answered. How many answers that leaves is checked in virtual
-/// time (`overload` of `trestle-core`), since a busy machine serves fewer.
+/// At ten times the load, every request ends with exactly one result, its complete answer or an
+/// error that says it was not run, and every urgent request is answered. The number of answers is
+/// checked in virtual time (test `overload` of `trestle-core`), since a busy machine serves fewer.
 #[test]
 fn every_request_ends_as_it_must_at_ten_times_the_load() {
     let session = bench::start().expect("the session starts");
@@ -134,14 +138,17 @@
             "work": {"models": {"names": ["steady"], "stream": false}},
         })
     };
-    let streams = json!([stream("patient", FLOOD, 60_000), stream("urgent", URGENT, 60_000)]);
-    let report = session.load(&streams).expect("the load tool runs");
+    let streams = json!([
+        stream("patient", PATIENT_REQUESTS, 60_000),
+        stream("urgent", URGENT_REQUESTS, 60_000)
+    ]);
+    let report = session.run_load(&streams).expect("the load tool runs");
     assert_no_violation(&report);
     assert_no_breach(&session);
-    let ended = verdicts(&report, "done") + verdicts(&report, "not_run");
-    assert_eq!(ended, FLOOD + URGENT, "{:#}", report["groups"]);
+    let finished = verdicts(&report, "done") + verdicts(&report, "not_run");
+    assert_eq!(finished, PATIENT_REQUESTS + URGENT_REQUESTS, "{:#}", report["groups"]);
     let groups = report["groups"].as_array().expect("groups").iter();
     let urgent = groups.filter(|group| group["class"] == "urgent").collect::<Vec<_>>();
-    assert_eq!(urgent[0]["verdicts"]["done"], URGENT, "{:#}", report["groups"]);
-    assert!(verdicts(&report, "not_run") > 0, "nothing was refused: {:#}", report["groups"]);
+    assert_eq!(urgent[0]["verdicts"]["done"], URGENT_REQUESTS, "{:#}", report["groups"]);
+    assert!(verdicts(&report, "not_run") > 0, "no request was rejected: {:#}", report["groups"]);
 }
