--- a/crates/trestle-session/src/bench.rs
+++ b/crates/trestle-session/src/bench.rs
@@ -96,12 +96,13 @@
 /// The urgent class requests one part in this many of the capacity.
 const URGENT_DIVISOR: usize = 8;
 
-/// Results of a run at capacity and of a run with ten times the requests of the patient class.
+/// Results of a run at capacity and of an overload run, which has ten times the requests of the
+/// patient class.
 #[derive(Debug)]
 pub struct Goodput {
     /// Answers per second of the overload run, divided by those of the run at capacity.
     pub ratio: f64,
-    /// Number of violations in both runs.
+    /// Total number of violations in both runs.
     pub violations: usize,
     /// Number of requests of the urgent class in each run.
     pub urgent_requests: u64,
@@ -110,7 +111,8 @@
     reports: [Value; 2],
 }
 
-/// Runs the steady model at capacity, and then with ten times the requests of the patient class.
+/// Runs the steady model at capacity, and then with ten times the requests of the patient class;
+/// returns the results of both runs.
 ///
 /// # Errors
 ///
--- a/crates/trestlectl/src/log_line.rs
+++ b/crates/trestlectl/src/log_line.rs
@@ -14,7 +14,8 @@
 pub(crate) struct LogLine {
     /// Timestamp of the line, as text that sorts by time.
     pub(crate) timestamp: String,
-    /// The daemon: the last word before the JSON object, or the name of the file.
+    /// The daemon: the last word before the JSON object, or the name of the file
+    /// without its extension.
     pub(crate) source: String,
     /// The message.
     pub(crate) message: String,
