--- a/crates/trestled/src/actions.rs
+++ b/crates/trestled/src/actions.rs
@@ -9,7 +9,7 @@
     row::{CommitOutcome, RowKey, Txn},
     usage_profile::UsageProfile,
 };
-use trestle_wire::habits::{WireHabits, habits_object};
+use trestle_wire::usage_profile::{WireUsageProfiles, usage_profiles_object};
 
 /// Executes an action. Actions that take time run in a task of their own.
 pub(crate) fn execute(daemon: &Arc<Daemon>, domain: &DomainName, action: Action) {
@@ -91,8 +91,9 @@
 }
 
 async fn fetch_usage_profiles(daemon: Arc<Daemon>, endpoint: EndpointName) {
-    let content = daemon.platform.get_object(&habits_object(endpoint.as_str())).await;
-    let wire = content.ok().and_then(|content| serde_json::from_slice::<WireHabits>(&content).ok());
+    let content = daemon.platform.get_object(&usage_profiles_object(endpoint.as_str())).await;
+    let wire =
+        content.ok().and_then(|content| serde_json::from_slice::<WireUsageProfiles>(&content).ok());
     if let Some(wire) = wire {
         daemon.send_event(Event::UsageProfiles(endpoint, wire.into()));
     }
@@ -103,8 +104,9 @@
     endpoint: EndpointName,
     profiles: BTreeMap<ModelName, UsageProfile>,
 ) {
-    let Ok(content) = serde_json::to_vec(&WireHabits::from(&profiles)) else { return };
-    let stored = daemon.platform.put_object(&habits_object(endpoint.as_str()), &content).await;
+    let Ok(content) = serde_json::to_vec(&WireUsageProfiles::from(&profiles)) else { return };
+    let stored =
+        daemon.platform.put_object(&usage_profiles_object(endpoint.as_str()), &content).await;
     if let Err(error) = stored {
         tracing::debug!(
             "owner: The usage profiles of endpoint {endpoint} could not be stored: {error}."
