--- a/crates/trestle-lab/src/experiment.rs
+++ b/crates/trestle-lab/src/experiment.rs
@@ -143,8 +143,8 @@
     Ok((file.seeds, variants.collect::<Result<_>>()?))
 }
 
-/// Returns the policy without the mechanisms of these names; `location` says in errors where they
-/// stand.
+/// Returns the policy without the mechanisms of these names; `location` names the file or option
+/// that lists them, for errors.
 ///
 /// # Errors
 ///
--- a/crates/trestle-lab/src/sim/simulation.rs
+++ b/crates/trestle-lab/src/sim/simulation.rs
@@ -235,9 +235,9 @@
                 engine.held = held;
             }
         }
-        let mut others: Vec<usize> = (0..self.names.len()).collect();
-        others.shuffle(&mut self.random);
-        let copies = others.into_iter().take(self.deployment.engines.on_disk);
+        let mut shuffled: Vec<usize> = (0..self.names.len()).collect();
+        shuffled.shuffle(&mut self.random);
+        let copies = shuffled.into_iter().take(self.deployment.engines.on_disk);
         engine.on_disk = copies.map(|model| self.names[model].clone()).collect();
         engine.on_disk.extend(engine.held.keys().cloned());
         engine.in_memory = engine.held.keys().cloned().collect();
