--- a/crates/trestle-wire/src/placements.rs
+++ b/crates/trestle-wire/src/placements.rs
@@ -1,66 +1,70 @@
-//! What a leader tells of where models are: changes, with numbers in place of names.
+//! Changes of which engine can run which model, as leaders report them. Numbers stand for names
+//! that the receiver knows already.
 
 use trestle_dispatch::placement_log::{PlacementChange, PlacementDelta, PlacementPosition};
 
-/// How much of a leader's log a daemon has.
+/// Position of a daemon in a leader's placement log.
 #[trestle_macros::wire]
 #[derive(Copy, Default)]
-pub struct WirePosition {
-    /// The log, by its random number.
+pub struct WirePlacementPosition {
+    /// Random number that identifies the log.
     pub log: u64,
-    /// Changes that it has taken.
+    /// Number of changes that the daemon has applied.
     pub sequence: u64,
-    /// Names that it has numbers for.
+    /// Number of names that the daemon can look up by their numbers.
     pub names: u32,
 }
 
-/// What a daemon lacks of a log.
+/// Part of a placement log that a daemon lacks.
 #[trestle_macros::wire]
 #[derive(Default)]
-pub struct WireDelta {
-    /// The log, by its random number.
+pub struct WirePlacementDelta {
+    /// Random number that identifies the log.
     pub log: u64,
-    /// The change up to which this leads.
+    /// Number of changes in the log up to the end of this part.
     pub sequence: u64,
-    /// Whether what is not named is not there.
+    /// Whether this is the complete state, so that engines, models and adapters not named in it are
+    /// absent.
     pub is_whole: bool,
-    /// The number of the first name.
+    /// Number of the first of `names`.
     pub first_name: u32,
-    /// Names, numbered one after the other.
+    /// Names with consecutive numbers.
     pub names: Vec<String>,
-    /// Changes, in their order.
-    pub changes: Vec<WireChange>,
+    /// Changes, in the order in which they apply.
+    pub changes: Vec<WirePlacementChange>,
 }
 
-/// A change of what one engine can run: the numbers of the engine, the model and the adapter.
+/// Change of what one engine can run. The fields are the numbers of the engine, the model and the
+/// adapter.
 #[trestle_macros::wire]
 #[derive(Copy)]
-pub enum WireChange {
-    /// An engine is there.
+pub enum WirePlacementChange {
+    /// An engine is listed.
     Listed(u32),
-    /// It is gone.
+    /// An engine is gone, with all models that it held.
     Gone(u32),
-    /// It can run a model.
+    /// An engine can run a model.
     Model(u32, u32),
-    /// It no longer can.
+    /// An engine can no longer run a model.
     NoModel(u32, u32),
-    /// It can run an adapter.
+    /// An engine can run an adapter of a model.
     Adapter(u32, u32, u32),
-    /// It no longer can.
+    /// An engine can no longer run an adapter of a model.
     NoAdapter(u32, u32, u32),
 }
 
-/// A name, by its number where the receiver's log has one.
+/// Name, or the number that stands for it in the log of the receiver.
 #[trestle_macros::wire]
 pub enum WireName {
-    /// Its number.
+    /// Number of the name.
     Number(u32),
-    /// The name itself.
+    /// Name without a number.
     Name(String),
 }
 
 impl WireName {
-    /// The wire form of a name that may have a number.
+    /// Creates the wire form of a name; `number` returns the number that stands for it, if there is
+    /// one.
     pub fn new(name: &str, number: impl Fn(&str) -> Option<u32>) -> Self {
         match number(name) {
             Some(number) => Self::Number(number),
@@ -69,21 +73,21 @@
     }
 }
 
-impl From<PlacementPosition> for WirePosition {
+impl From<PlacementPosition> for WirePlacementPosition {
     fn from(position: PlacementPosition) -> Self {
         let PlacementPosition { log, sequence, names } = position;
         Self { log, sequence, names }
     }
 }
 
-impl From<WirePosition> for PlacementPosition {
-    fn from(wire: WirePosition) -> Self {
-        let WirePosition { log, sequence, names } = wire;
+impl From<WirePlacementPosition> for PlacementPosition {
+    fn from(wire: WirePlacementPosition) -> Self {
+        let WirePlacementPosition { log, sequence, names } = wire;
         Self { log, sequence, names }
     }
 }
 
-impl From<PlacementDelta> for WireDelta {
+impl From<PlacementDelta> for WirePlacementDelta {
     fn from(delta: PlacementDelta) -> Self {
         Self {
             log: delta.log,
@@ -91,13 +95,13 @@
             is_whole: delta.is_whole,
             first_name: delta.first_name,
             names: delta.names.iter().map(|name| name.as_ref().to_owned()).collect(),
-            changes: delta.changes.into_iter().map(WireChange::from).collect(),
+            changes: delta.changes.into_iter().map(WirePlacementChange::from).collect(),
         }
     }
 }
 
-impl From<WireDelta> for PlacementDelta {
-    fn from(wire: WireDelta) -> Self {
+impl From<WirePlacementDelta> for PlacementDelta {
+    fn from(wire: WirePlacementDelta) -> Self {
         Self {
             log: wire.log,
             sequence: wire.sequence,
@@ -109,7 +113,7 @@
     }
 }
 
-impl From<PlacementChange> for WireChange {
+impl From<PlacementChange> for WirePlacementChange {
     fn from(change: PlacementChange) -> Self {
         match change {
             PlacementChange::Listed { engine } => Self::Listed(engine),
@@ -126,15 +130,17 @@
     }
 }
 
-impl From<WireChange> for PlacementChange {
-    fn from(wire: WireChange) -> Self {
+impl From<WirePlacementChange> for PlacementChange {
+    fn from(wire: WirePlacementChange) -> Self {
         match wire {
-            WireChange::Listed(engine) => Self::Listed { engine },
-            WireChange::Gone(engine) => Self::Gone { engine },
-            WireChange::Model(engine, model) => Self::Model { engine, model },
-            WireChange::NoModel(engine, model) => Self::NoModel { engine, model },
-            WireChange::Adapter(engine, model, adapter) => Self::Adapter { engine, model, adapter },
-            WireChange::NoAdapter(engine, model, adapter) => {
+            WirePlacementChange::Listed(engine) => Self::Listed { engine },
+            WirePlacementChange::Gone(engine) => Self::Gone { engine },
+            WirePlacementChange::Model(engine, model) => Self::Model { engine, model },
+            WirePlacementChange::NoModel(engine, model) => Self::NoModel { engine, model },
+            WirePlacementChange::Adapter(engine, model, adapter) => {
+                Self::Adapter { engine, model, adapter }
+            }
+            WirePlacementChange::NoAdapter(engine, model, adapter) => {
                 Self::NoAdapter { engine, model, adapter }
             }
         }
--- a/crates/trestled/src/main.rs
+++ b/crates/trestled/src/main.rs
@@ -64,7 +64,7 @@
         return Ok(());
     }
     match settings {
-        SettingsFile::Own(settings) => run_engine_daemon(settings),
+        SettingsFile::Platform(settings) => run_engine_daemon(settings),
         SettingsFile::Entry(settings) => {
             let wire = platform_wire::wire();
             trestle_entry::run(settings, args.settings_path, wire).context(EntrySnafu)
--- a/crates/trestled/src/permit_client.rs
+++ b/crates/trestled/src/permit_client.rs
@@ -19,7 +19,7 @@
     names::{EndpointName, ModelName, TeamName},
     permit::{PERMIT_USE_MS, Ticket},
 };
-use trestle_wire::peer::{WireAnswer, WireAsk, WireRefusal};
+use trestle_wire::peer::{WirePermitAnswer, WirePermitRequest, WireRefusal};
 
 /// Interval at which the daemon checks that the owner of a waiting request still answers.
 const LIVENESS_INTERVAL_MS: u64 = 500;
@@ -60,7 +60,7 @@
     Granted(Permit),
     /// An owner answered, and granted no permit. If the deadline passed before any owner could be
     /// reached, the answer is a refusal that this daemon makes itself.
-    Declined(WireAnswer),
+    Declined(WirePermitAnswer),
     /// No owner could be reached.
     NoOwner,
 }
@@ -83,7 +83,7 @@
             request_from_peer(daemon, address, endpoint, params, ranks_lost).await
         };
         match answer {
-            Some(WireAnswer::Granted { ticket, cold }) => {
+            Some(WirePermitAnswer::Granted { ticket, cold }) => {
                 return PermitOutcome::Granted(Permit {
                     endpoint: endpoint.clone(),
                     is_cold: cold,
@@ -93,12 +93,16 @@
                     ticket: Ticket(ticket),
                 });
             }
-            Some(WireAnswer::NotOwner { owner_rank: Some(owner) }) if usize::from(owner) > rank => {
+            Some(WirePermitAnswer::NotOwner { owner_rank: Some(owner) })
+                if usize::from(owner) > rank =>
+            {
                 rank = usize::from(owner);
             }
             // The owner is alive, but this daemon cannot reach it.
-            Some(WireAnswer::NotOwner { owner_rank: Some(_) }) => return PermitOutcome::NoOwner,
-            Some(WireAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
+            Some(WirePermitAnswer::NotOwner { owner_rank: Some(_) }) => {
+                return PermitOutcome::NoOwner;
+            }
+            Some(WirePermitAnswer::NotOwner { owner_rank: None }) | None => rank += 1,
             Some(answer) => return PermitOutcome::Declined(answer),
         }
     }
@@ -106,7 +110,7 @@
         // The deadline passed before any owner was reached, which does not show that the owners
         // failed.
         let reason = WireRefusal::DeadlineTooClose;
-        return PermitOutcome::Declined(WireAnswer::Refused {
+        return PermitOutcome::Declined(WirePermitAnswer::Refused {
             reason,
             retry_after_ms: DEADLINE_RETRY_MS,
         });
@@ -119,9 +123,9 @@
     endpoint: &EndpointName,
     params: PermitParams<'_>,
     ranks_lost: u8,
-) -> Option<WireAsk> {
+) -> Option<WirePermitRequest> {
     let due_in = params.deadline.checked_duration_since(Instant::now())?;
-    Some(WireAsk {
+    Some(WirePermitRequest {
         entry: daemon.own_vm.to_string(),
         endpoint: endpoint.to_string(),
         model: params.model.to_string(),
@@ -138,7 +142,7 @@
     endpoint: &EndpointName,
     params: PermitParams<'_>,
     ranks_lost: u8,
-) -> Option<WireAnswer> {
+) -> Option<WirePermitAnswer> {
     let request = wire_request(daemon, endpoint, params, ranks_lost)?;
     Some(handle_request(Arc::clone(daemon), request).await)
 }
@@ -149,9 +153,9 @@
     endpoint: &EndpointName,
     params: PermitParams<'_>,
     ranks_lost: u8,
-) -> Option<WireAnswer> {
+) -> Option<WirePermitAnswer> {
     let request = wire_request(daemon, endpoint, params, ranks_lost)?;
-    let answered = async { daemon.peers.ask(address, request).await.ok() };
+    let answered = async { daemon.peers.request_permit(address, request).await.ok() };
     let lost = async {
         wait_until_silent(daemon, address, endpoint).await;
         None
@@ -171,17 +175,21 @@
 
 /// Passes a permit request to this daemon's own control thread and waits for the answer. The
 /// request is cancelled if the future is dropped before that.
-pub(crate) async fn handle_request(daemon: Arc<Daemon>, request: WireAsk) -> WireAnswer {
+pub(crate) async fn handle_request(
+    daemon: Arc<Daemon>,
+    request: WirePermitRequest,
+) -> WirePermitAnswer {
     let ticket = daemon.next_ticket();
     let endpoint = EndpointName::from(request.endpoint.as_str());
     let (reply, answer) = async_channel::bounded(1);
     let mut guard = CancelGuard { daemon: Arc::clone(&daemon), endpoint, ticket, is_armed: true };
-    daemon.send(Message::PermitRequest(request.received(ticket, daemon.now_ms()), reply));
+    daemon
+        .send(Message::PermitRequest(request.into_permit_request(ticket, daemon.now_ms()), reply));
     let answer = answer.recv().await;
     guard.is_armed = false;
     match answer {
-        Ok(answer) => WireAnswer::new(ticket, answer),
-        Err(_) => WireAnswer::NotOwner { owner_rank: None },
+        Ok(answer) => WirePermitAnswer::new(ticket, answer),
+        Err(_) => WirePermitAnswer::NotOwner { owner_rank: None },
     }
 }
 
