--- a/crates/trestle-dispatch/src/admission.rs
+++ b/crates/trestle-dispatch/src/admission.rs
@@ -15,8 +15,8 @@
 const CALLER_TIMEOUT_OBJECTIVES: u64 = 4;
 /// The same time as a multiple of the longest pause between events that counts as on time.
 const CALLER_TIMEOUT_PAUSES: u64 = 8;
-/// Time from the moment a model is ready to the first event at the caller: the report of the model,
-/// the send to the engine, the prompt, and the way back.
+/// Time from the moment a model is ready to the first event at the caller: for the report that the
+/// model is ready, the send to the engine, the reading of the prompt, and the return of the event.
 const FIRST_EVENT_MS: u64 = 150;
 /// A caller is told to retry after at most its remaining time divided by this.
 const RETRY_PART: u64 = 3;
@@ -24,8 +24,9 @@
 const UNKNOWN_READY_MS: u64 = 1_500;
 /// Added to the time until a model is ready, so that a caller that retries finds it ready.
 const RETRY_MARGIN_MS: u64 = 150;
-/// Time for which no endpoint may be found for a model that the leader reports as ready: the report
-/// of the engine is still under way, or the engine has just refused. After it, the two disagree.
+/// Time for which this daemon may find no endpoint for a model that the leader reports as ready:
+/// the engine's report is still in transit, or the engine has just refused the request. After this
+/// time the request is refused with [`Reason::Disagreement`].
 const DISAGREEMENT_MS: u64 = 600;
 
 /// When a model is expected to be ready.
@@ -34,17 +35,17 @@
 pub enum Forecast {
     /// The leader expects the model to become ready.
     Ready {
-        /// Time until then.
+        /// Time until the model is ready.
         in_ms: u64,
     },
     /// The leader reports the model as ready now.
     Here {
-        /// Time for which it has done so.
+        /// Time for which the leader has reported it.
         for_ms: u64,
     },
     /// The leader has not yet reported on the model.
     NotReported,
-    /// No leader is known, or it cannot tell.
+    /// No leader is known, or the leader cannot predict when the model will be ready.
     Unknown,
 }
 
--- a/crates/trestle-dispatch/src/allowance.rs
+++ b/crates/trestle-dispatch/src/allowance.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use trestle_core::names::TeamName;
 
-/// Longest time for which a daemon does not ask again after a refusal: other daemons may have
-/// left units, and the limit may be raised.
+/// Longest time for which a daemon does not request units again after a refusal: other daemons may
+/// not have used theirs, and the limit may be raised.
 const MAX_EXHAUSTED_MS: u64 = 500;
 
 /// The units that one daemon may spend, by team.
@@ -61,7 +61,7 @@
         allowance.parts.push_back(Part { units, until_ms });
     }
 
-    /// Records that the leader refused units, and the time after which it may have some.
+    /// Records that the leader refused units, and the time after which it may have units again.
     pub fn refused(&mut self, team: &TeamName, in_ms: u64, now_ms: u64) {
         let allowance = self.by_team.entry(team.clone()).or_default();
         allowance.exhausted_until_ms = now_ms + in_ms.min(MAX_EXHAUSTED_MS);
--- a/crates/trestle-dispatch/src/backpressure.rs
+++ b/crates/trestle-dispatch/src/backpressure.rs
@@ -21,15 +21,16 @@
 /// take it, while few daemons do so: without any request nobody would observe that the limit is
 /// lifted.
 const TRIAL_INTERVAL_MS: u64 = 1_000;
-/// Number of daemons up to which each tries at this interval. More daemons try less often, so
-/// that together they request as many permits.
+/// Number of daemons up to which each tries a limited endpoint every [`TRIAL_INTERVAL_MS`]. If
+/// there are more, each tries less often, so that all together request no more permits.
 const FEW_DAEMONS: u64 = 16;
 /// Longest time after a backoff for which an endpoint receives few concurrent requests, and more
 /// with each answered one: rejected callers all retry together.
 const RAMP_UP_MS: u64 = 3_000;
 /// Number of concurrent requests that each answered request adds.
 const RAMP_UP_STEP: u32 = 2;
-/// Number of requests answered after a backoff from which on it is over.
+/// Number of requests answered after a backoff from which on the number of concurrent requests is
+/// no longer limited.
 const RAMP_UP_SERVED: u32 = 4;
 /// Delay after which callers should retry if the endpoint is still running the first requests
 /// after a backoff.
@@ -39,8 +40,8 @@
 const MAX_CLOSED_MS: u64 = 5_000;
 /// Time after which a daemon that found no leader to request a permit from tries again.
 const UNREACHABLE_CLOSED_MS: u64 = 500;
-/// Delay after which callers should retry in that case: the lease of a leader that was lost runs
-/// out after about this time.
+/// Delay after which callers should retry if no leader was found to request a permit from: the
+/// lease of a leader that was lost runs out after about this time.
 const UNREACHABLE_RETRY_MS: u64 = 2_000;
 
 /// Signals of endpoints to this daemon.
--- a/crates/trestle-dispatch/src/candidate.rs
+++ b/crates/trestle-dispatch/src/candidate.rs
@@ -17,7 +17,7 @@
 /// yet; weaker VMs wait longer, in proportion. VMs start some 300 ms apart, so the wait must
 /// separate a VM of half a core from one of an eighth by that much.
 const ONE_CORE_DELAY_MS: u64 = 100;
-/// Longest such wait, for the weakest VMs.
+/// Longest wait while no daemon has led yet, for the weakest VMs.
 const MAX_FIRST_DELAY_MS: u64 = 1_000;
 
 /// A daemon that may acquire the lease.
@@ -38,8 +38,8 @@
     ///
     /// The wait starts when the daemon itself is ready. All daemons become ready at about the same
     /// moment, when the first configuration arrives, long after they have seen that the lease is
-    /// free. Counted from the latter, every wait had passed, and the first daemon to be ready led
-    /// 295 daemons from an eighth of a core.
+    /// free. When waits counted from the moment the lease became free, all were over by then, and
+    /// the first daemon to be ready, on an eighth of a core, led 295 daemons.
     pub fn may_acquire_from_ms(self, free_from_ms: u64, last: Option<&LeaseRow>) -> u64 {
         free_from_ms.max(self.ready_since_ms) + self.takeover_delay_ms(last)
     }
--- a/crates/trestle-dispatch/src/choice.rs
+++ b/crates/trestle-dispatch/src/choice.rs
@@ -93,8 +93,10 @@
             Availability::Open => open.push(endpoint),
         }
     }
-    let mut picked =
-        [open, limited, failing].into_iter().find(|some| !some.is_empty()).unwrap_or_default();
+    let mut picked = [open, limited, failing]
+        .into_iter()
+        .find(|endpoints| !endpoints.is_empty())
+        .unwrap_or_default();
     let policy = &inputs.local_view.policy;
     if policy.has(Mechanism::TwoChoices) {
         picked.sort_by_key(|endpoint| hash(random, &endpoint.name));
--- a/crates/trestle-dispatch/src/compressed_text.rs
+++ b/crates/trestle-dispatch/src/compressed_text.rs
@@ -2,7 +2,7 @@
 //!
 //! The load that this answers: a configuration that grows by a thousand routes, which one leader
 //! relays to all daemons at once. Uncompressed it occupied the links of small VMs for longer than
-//! daemons wait for an answer, so they repeated their requests and never received one.
+//! daemons wait for an answer, so they repeated their requests and never received an answer.
 
 use flate2::{
     Compression,
--- a/crates/trestle-dispatch/src/config_texts.rs
+++ b/crates/trestle-dispatch/src/config_texts.rs
@@ -64,13 +64,13 @@
         self.texts.iter().find(|(at, _)| *at == version).map(|(_, text)| text)
     }
 
-    /// Returns the update for a daemon that has version `have`; `None` if that is the newest.
-    pub fn update_since(&mut self, have: u64) -> Option<ConfigUpdate> {
+    /// Returns the update for a daemon that has version `known`; `None` if that is the newest.
+    pub fn update_since(&mut self, known: u64) -> Option<ConfigUpdate> {
         let (newest, text) = self.texts.back()?;
-        if *newest <= have {
+        if *newest <= known {
             return None;
         }
-        let old = self.texts.iter().find(|(at, _)| *at == have);
+        let old = self.texts.iter().find(|(at, _)| *at == known);
         let pieces = old.and_then(|(from, old)| {
             let delta = self.deltas.entry(*from);
             delta
@@ -78,7 +78,7 @@
                 .clone()
         });
         Some(match pieces {
-            Some(pieces) => ConfigUpdate::Changes { from: have, pieces },
+            Some(pieces) => ConfigUpdate::Changes { from: known, pieces },
             None => ConfigUpdate::Whole(
                 self.whole.get_or_insert_with(|| CompressedText::compress(text)).clone(),
             ),
@@ -100,7 +100,7 @@
         CompressedPiece::Kept(from, length) => {
             Some(TextPiece::Kept { from: *from, length: *length })
         }
-        CompressedPiece::New(compress_pieces) => compress_pieces.decompress().map(TextPiece::New),
+        CompressedPiece::New(text) => text.decompress().map(TextPiece::New),
     });
     each.collect()
 }
--- a/crates/trestle-dispatch/src/crashes.rs
+++ b/crates/trestle-dispatch/src/crashes.rs
@@ -2,7 +2,7 @@
 //!
 //! The load that this answers: a request that crashes each endpoint which begins to run it, and
 //! whose caller retries at any daemon for as long as it fails. Without this record one such
-//! request crashed 15 of 9 engines in 10 s, restarts included, and aborted everything that ran
+//! request crashed 9 engines 15 times in 10 s, restarts included, and aborted everything that ran
 //! there. So each daemon records under which requests endpoints crashed, leaders collect these
 //! records, and a request under which [`MAX_CRASHES`] endpoints crashed is rejected everywhere.
 //!
@@ -39,7 +39,8 @@
 /// Time after which a request is forgotten. In the second half of it the request is admitted, and
 /// the next crash under it has it rejected again.
 const EXPIRY_MS: u64 = 2 * MAX_REJECTED_MS;
-/// Number of crashes that are kept for one request: three, and as many more as the time can grow.
+/// Number of crashes that are kept for one request: [`MAX_CRASHES`], and one for each of the three
+/// steps in which the time of rejection grows to its longest.
 const MAX_KEPT_CRASHES: usize = MAX_CRASHES + 3;
 /// Number of requests that are kept: twice the 2,000 slots of engines that may crash at once.
 /// They take about 1 MB.
@@ -60,7 +61,7 @@
     last_restricted_change: u64,
 }
 
-/// What is known of one request.
+/// What this daemon knows of one request under which endpoints crashed.
 #[derive(Debug, Default)]
 struct CrashRecord {
     /// The most recent incarnations that crashed under the request, and when.
@@ -129,7 +130,8 @@
         self.must_run_serially_with_unresolved(request, 0)
     }
 
-    /// Returns the same, if `unresolved` more endpoints may have crashed under the request.
+    /// Returns whether only one attempt of a request may run at a time if `unresolved` more
+    /// endpoints may have crashed under it.
     pub fn must_run_serially_with_unresolved(
         &self,
         request: Fingerprint,
@@ -241,8 +243,8 @@
     }
 
     fn rejected_until_ms(&self) -> Option<u64> {
-        let is_known = self.crashes.len() >= MAX_CRASHES && !self.is_served;
-        is_known.then(|| self.last_ms() + self.rejected_ms())
+        let is_rejected = self.crashes.len() >= MAX_CRASHES && !self.is_served;
+        is_rejected.then(|| self.last_ms() + self.rejected_ms())
     }
 
     /// Returns for how long the request is rejected, from its last crash on.
--- a/crates/trestle-dispatch/src/demand.rs
+++ b/crates/trestle-dispatch/src/demand.rs
@@ -10,17 +10,18 @@
 use trestle_core::names::{AdapterName, EndpointName, ModelName, VmName};
 
 /// Value of a request relative to one of the next higher priority. Operators of the deployments
-/// credit their most urgent class with 7 to 9 times the next, and the classes below it about alike.
+/// value a request of their most urgent class 7 to 9 times as much as one of the next class, and
+/// requests of the classes below it about alike.
 const URGENCY_STEP: f64 = 0.3;
 /// Time after its last report for which a daemon's report counts as current.
 const CURRENT_MS: u64 = 2_000;
 /// Time in which the peak number of running requests decays to 1/e: the length of some streams, so
-/// that a replica is not given up between two of them.
+/// that a replica is not evicted between two of them.
 const PEAK_DECAY_MS: f64 = 3_000.0;
 /// Time for which the last use of an adapter is remembered; adapters without one are evicted first.
 const ADAPTER_MEMORY_MS: u64 = 60_000;
-/// Weight of the newest sample in the average running time of a request; a plan takes one sample,
-/// some ten times a second.
+/// Weight of the newest sample in the average running time of a request; each plan takes one
+/// sample, and there are some ten plans a second.
 const NEWEST_SAMPLE_WEIGHT: f64 = 0.02;
 /// Time after its last report for which a daemon counts among those that share budgets.
 const COUNTED_MS: u64 = 30_000;
@@ -48,13 +49,13 @@
 /// Requests of one daemon that wait for the same model or adapter, or whose callers will retry.
 #[trestle_macros::key]
 pub struct Waiting {
-    /// Priority of the most urgent request; 0 goes first.
+    /// Priority of the most urgent request; 0 is the most urgent.
     pub priority: u8,
-    /// Time until the first of them is no longer on time.
+    /// Time until the first of the requests is no longer on time.
     pub due_in_ms: u64,
     /// The model.
     pub model: ModelName,
-    /// The adapter; `None` if they wait for the model alone.
+    /// The adapter; `None` if the requests wait for the model alone.
     pub adapter: Option<AdapterName>,
     /// Number of requests.
     pub count: u32,
@@ -67,7 +68,7 @@
     pub model: &'a ModelName,
     /// The adapter; `None` if the requests wait for the model alone.
     pub adapter: Option<&'a AdapterName>,
-    /// Priority of the most urgent request; 0 goes first.
+    /// Priority of the most urgent request; 0 is the most urgent.
     pub priority: u8,
     /// Time until the first of the requests is no longer on time.
     pub due_in_ms: u64,
@@ -191,7 +192,7 @@
     /// Records that a plan includes all reports so far, given the models that engines hold.
     ///
     /// A daemon's report counts as planned once every leader responsible for its pending demand has
-    /// planned.
+    /// planned, which `is_planned` returns for each model or adapter.
     pub fn record_plan(
         &mut self,
         held: &BTreeSet<ModelName>,
@@ -269,8 +270,9 @@
         self.aggregate_where(now_ms, |_| true)
     }
 
-    /// Returns the pending demand of the daemons for what passes `is_here`, and all that other
-    /// leaders report, since they report only what this leader is responsible for.
+    /// Returns the pending demand of the daemons for models and adapters for which `is_here`
+    /// returns `true`, and all that other leaders report, since they report only what this leader
+    /// is responsible for.
     pub fn aggregate_where(
         &self,
         now_ms: u64,
@@ -350,8 +352,8 @@
                 waiting.entry(key).or_insert(empty).add(requests);
             }
             for (endpoint, models) in &daemon_report.running {
-                let engine = is_its_engine(endpoint);
-                let entry = match engine {
+                let is_named = is_its_engine(endpoint);
+                let entry = match is_named {
                     true => report.running.entry(endpoint.clone()).or_default(),
                     false => &mut report.running_elsewhere,
                 };
--- a/crates/trestle-dispatch/src/departures.rs
+++ b/crates/trestle-dispatch/src/departures.rs
@@ -36,7 +36,7 @@
     last_order: u64,
 }
 
-/// The state of one such incarnation.
+/// The state of one incarnation that is draining or gone.
 #[derive(Debug, Default)]
 struct Departed {
     /// Whether it announced that it is draining.
@@ -72,14 +72,15 @@
 
     /// Applies what another daemon reports about an incarnation. Returns whether it was unknown.
     pub fn apply(&mut self, departure: &Departure) -> bool {
-        let Departure { incarnation, was_draining: has_left, last_number } = departure;
+        let Departure { incarnation, was_draining, last_number } = departure;
         let known = self.by_incarnation.get(incarnation);
-        let is_covered =
-            |known: &Departed| known.was_draining >= *has_left && known.last_number >= *last_number;
+        let is_covered = |known: &Departed| {
+            known.was_draining >= *was_draining && known.last_number >= *last_number
+        };
         let is_unknown = !known.is_some_and(is_covered);
         if is_unknown {
             self.update(incarnation.clone(), |departed| {
-                departed.was_draining |= *has_left;
+                departed.was_draining |= *was_draining;
                 departed.last_number = departed.last_number.max(*last_number);
             });
         }
@@ -102,8 +103,8 @@
         !endpoint.has_start_time() && self.last_with_start_time(&endpoint.name).is_some()
     }
 
-    /// Returns at most `max_count` incarnations to report to daemons that may not know of them: first
-    /// those whose name is used by another writer's entry, then the most recent ones.
+    /// Returns at most `max_count` incarnations to report to daemons that may not know of them:
+    /// first those whose name is used by another writer's entry, then the most recent ones.
     pub fn reports(
         &self,
         max_count: usize,
@@ -114,7 +115,9 @@
         let gone = identifiable
             .filter(|(incarnation, departed)| departed.was_draining || !is_listed(incarnation));
         let mut gone: Vec<(&Incarnation, &Departed)> = gone.collect();
-        gone.sort_by_key(|(_, of)| std::cmp::Reverse((of.has_foreign_entry, of.order)));
+        gone.sort_by_key(|(_, departed)| {
+            std::cmp::Reverse((departed.has_foreign_entry, departed.order))
+        });
         let each = gone.into_iter().take(max_count).map(|(incarnation, departed)| Departure {
             incarnation: incarnation.clone(),
             was_draining: departed.was_draining,
--- a/crates/trestle-dispatch/src/directory.rs
+++ b/crates/trestle-dispatch/src/directory.rs
@@ -1,8 +1,8 @@
 //! The live endpoints, according to the entries in the store.
 //!
 //! The entries can be wrong for a while: they lapse while the store is unavailable although their
-//! endpoints are alive. Such an entry is kept until its endpoint had time to write it again. An
-//! entry with the draining mark stays in force until the endpoint restarts, even if an older
+//! endpoints are alive. Such an entry is kept until its endpoint has had time to write it again.
+//! The draining mark of an entry stays in force until the endpoint restarts, even if an older
 //! message that arrives later lacks the mark.
 
 use crate::{
@@ -20,6 +20,7 @@
 const REWRITE_MS: u64 = 2_000;
 /// Longest time from the choice of an endpoint until the request arrives there.
 const IN_TRANSIT_MS: u64 = 300;
+
 /// The live endpoints.
 #[derive(Debug)]
 pub struct Directory {
@@ -102,7 +103,8 @@
         true
     }
 
-    /// Applies an entry that does not say what its engine holds. Returns whether it was accepted.
+    /// Applies an entry that does not say what its engine holds; the contents that are known of the
+    /// same incarnation are kept. Returns whether the entry was accepted.
     pub fn apply_listed(&mut self, mut endpoint: Endpoint) -> bool {
         let known = self.endpoints.get(&endpoint.name);
         if let Some(known) = known.filter(|known| known.started_unix_ms == endpoint.started_unix_ms)
@@ -143,8 +145,8 @@
         true
     }
 
-    /// Returns at most `max_count` incarnations that are draining or gone, to be reported to daemons
-    /// that may not know of them.
+    /// Returns at most `max_count` incarnations that are draining or gone, to be reported to
+    /// daemons that may not know of them.
     pub fn departures(&self, max_count: usize) -> Vec<Departure> {
         self.departures.reports(max_count, |incarnation| self.contains(incarnation))
     }
--- a/crates/trestle-dispatch/src/endpoint_limits.rs
+++ b/crates/trestle-dispatch/src/endpoint_limits.rs
@@ -32,7 +32,7 @@
 const MIN_PER_KS: u64 = 200;
 /// Time for which the lowest limit is used if answers announce different ones.
 const LOWEST_VALID_MS: u64 = 4_000;
-/// Number of consecutive answers without a limit from which on it is being lifted: a single
+/// Number of consecutive answers without a limit from which on the limit is being lifted: a single
 /// answer may have been in transit when the limit was set.
 const MIN_ANSWERS_WITHOUT_LIMIT: u32 = 3;
 /// Time in which the rate of a limit that is being lifted doubles.
--- a/crates/trestle-dispatch/src/groups.rs
+++ b/crates/trestle-dispatch/src/groups.rs
@@ -101,14 +101,14 @@
         led: &BTreeSet<DomainName>,
         now_ms: u64,
     ) -> Option<u64> {
-        let home = self.home_group(domain);
+        let home_group = self.home_group(domain);
         let led_delay_ms = LED_GROUP_DELAY_MS * led.len() as u64;
-        match (group == home, self.is_split) {
+        match (group == home_group, self.is_split) {
             (true, true) => Some(led_delay_ms),
             (true, false) => Some(0),
             (false, true) => (!led.is_empty()).then_some(OTHER_GROUP_DELAY_MS + led_delay_ms),
             // A wait would count from when the lease became free, which may be long ago.
-            (false, false) if led.contains(home) => {
+            (false, false) if led.contains(home_group) => {
                 (now_ms >= self.grew_ms + LIST_COMPLETE_MS).then_some(0)
             }
             (false, false) => Some(LAST_RESORT_DELAY_MS),
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the rank of a group for a daemon or domain of this name; each name ranks the groups in a
-/// different order.
+/// Returns the rank of a group for a name, such as that of a failure domain or of a request; each
+/// name ranks the groups in a different order.
 pub fn rank(name: &str, group: &DomainName) -> u64 {
     let seed = xxh3_64_with_seed(name.as_bytes(), 0);
     xxh3_64_with_seed(group.as_str().as_bytes(), seed)
--- a/crates/trestle-dispatch/src/lease.rs
+++ b/crates/trestle-dispatch/src/lease.rs
@@ -4,7 +4,7 @@
 //! monotonic clock; an observer counts from the moment at which it first saw that renewal. The
 //! first is never later than the second, so the holder has stopped before an observer's conditional
 //! write can replace it. An engine must not receive orders of two VMs shortly after each other, so
-//! a new holder also keeps a quiet time.
+//! a new holder also keeps a quiet time, in which it gives no orders.
 //!
 //! A holder whose lease has expired steps down and reports so to the others. It gives no further
 //! order under that token, so the others need to keep the quiet time only at engines that it has
@@ -101,14 +101,14 @@
     identity: Identity,
     timing: LeaseTiming,
     seen: Option<SeenRow>,
-    /// Orders may be given until then.
+    /// Time until which orders may be given.
     held_until_ms: u64,
-    /// Orders may be given from then on.
+    /// Time from which on orders may be given.
     quiet_until_ms: u64,
-    /// Orders of earlier holders can no longer take effect from then on.
+    /// Time from which on orders of earlier holders can no longer take effect.
     settled_ms: u64,
-    /// Until when other VMs must keep quiet because of orders that an earlier daemon of this VM may
-    /// have given; this daemon does not know them.
+    /// Time until which other VMs must keep quiet because of orders that an earlier daemon of this
+    /// VM may have given; this daemon does not know those orders.
     unknown_until_ms: u64,
     /// The token under which this daemon gives no further order.
     resigned_token: Option<u64>,
@@ -297,7 +297,7 @@
         self.next_write_ms = now_ms + STEPPED_DOWN_MS;
     }
 
-    /// Returns what other daemons are told after this one stepped down; `None` if it has not, or
+    /// Returns the report to other daemons after this one stepped down; `None` if it has not, or
     /// once the lease has another holder. `settled_for_ms` is the time after which orders of this
     /// VM can no longer take effect.
     pub fn resignation(&self, settled_for_ms: u64, now_ms: u64) -> Option<Resignation> {
--- a/crates/trestle-dispatch/src/lib.rs
+++ b/crates/trestle-dispatch/src/lib.rs
@@ -19,8 +19,8 @@
 //!   decides where the next attempt may go, and [`retry_share`] bounds the number of attempts. With
 //!   [`trials`] a leader admits one attempt at a time of a request under which endpoints crashed.
 //! - Replicas: [`lease`] decides which daemon may give orders, [`groups`] to which engines, and
-//!   [`candidate`] which daemon should rather lead. [`member_count`] counts the daemons that share
-//!   budgets, [`demand`] adds up the demand of all daemons, and [`service_state`] is what the
+//!   [`candidate`] which daemon is preferred as leader. [`member_count`] counts the daemons that
+//!   share budgets, [`demand`] adds up the demand of all daemons, and [`service_state`] is what the
 //!   leader knows of the engines. [`sharing`] decides which of several leaders is responsible for a
 //!   model, [`placing`] which [`change`] to make where, and [`orders`] in which sequence one engine
 //!   executes its orders. With [`placement_log`] a leader reports where models are.
--- a/crates/trestle-dispatch/src/listing.rs
+++ b/crates/trestle-dispatch/src/listing.rs
@@ -26,7 +26,7 @@
     pub key: String,
     /// The endpoint that the entry describes.
     pub endpoint: Endpoint,
-    /// The store's version that wrote the entry, or since which it has had this content.
+    /// Version of the store at which the entry was written, or since which it has had this content.
     pub version: u64,
 }
 
@@ -103,11 +103,12 @@
     /// Returns the changes since a version.
     pub fn changes_since(&self, version: u64) -> ListUpdate {
         let is_whole = version < self.complete_at;
-        let written = self.entries.iter().filter(|(_, of)| is_whole || of.identity_at > version);
-        let written = written.map(|(key, of)| ListedEntry {
+        let written =
+            self.entries.iter().filter(|(_, entry)| is_whole || entry.identity_at > version);
+        let written = written.map(|(key, entry)| ListedEntry {
             key: key.clone(),
-            endpoint: of.identity.clone(),
-            version: of.identity_at,
+            endpoint: entry.identity.clone(),
+            version: entry.identity_at,
         });
         let removed = self.removed.iter().filter(|(_, at)| !is_whole && **at > version);
         ListUpdate {
--- a/crates/trestle-dispatch/src/local_view.rs
+++ b/crates/trestle-dispatch/src/local_view.rs
@@ -272,9 +272,9 @@
         Some(loadable::remaining_ms(*ready_in_ms, now_ms.saturating_sub(self.received_ms)))
     }
 
-    /// Drops what leaders reported, some time after the last report. Relayed list entries do not
-    /// say what engines hold, so the last reported contents take their place unless entries were
-    /// read from the store.
+    /// Drops what leaders reported; to be called some time after their last report. Relayed list
+    /// entries do not say what engines hold, so the last reported contents take their place unless
+    /// `has_read_entries`: entries read from the store say it.
     pub fn clear_replicas(&mut self, has_read_entries: bool) {
         for view in std::mem::take(&mut self.replicas).into_values() {
             for (name, summary) in view.engines.into_iter().filter(|_| !has_read_entries) {
@@ -389,8 +389,8 @@
     ) -> BTreeSet<Fingerprint> {
         let is_planned = match evidence {
             Evidence::Unlisted => self.directory.was_draining(incarnation),
-            // It stopped without announcing it and has terminated since, or its end was found
-            // earlier.
+            // An endpoint without an entry stopped without announcing it and has terminated since,
+            // or its termination was found earlier.
             _ => self.is_expected_to_end(incarnation),
         };
         match is_planned {
@@ -399,8 +399,8 @@
         }
     }
 
-    /// Returns the incarnations with open requests that terminated according to the list, without
-    /// having announced it.
+    /// Returns the incarnations with unresolved requests that terminated according to the list,
+    /// without having announced it.
     pub fn terminated_by_list(&self) -> Vec<(Incarnation, Evidence)> {
         let unlisted =
             self.unresolved_requests.unlisted(|incarnation| self.directory.contains(incarnation));
--- a/crates/trestle-dispatch/src/observed_times.rs
+++ b/crates/trestle-dispatch/src/observed_times.rs
@@ -5,7 +5,7 @@
     policy::{Mechanism, Policy},
 };
 
-/// Time for which an unload waits for running requests, until one was observed.
+/// Time for which an unload is assumed to wait for running requests, until one was observed.
 const INITIAL_RUN_WAIT_MS: f64 = 2_800.0;
 /// Weight of the newest time in the average.
 const NEWEST_WEIGHT: f64 = 0.2;
--- a/crates/trestle-dispatch/src/orders.rs
+++ b/crates/trestle-dispatch/src/orders.rs
@@ -114,8 +114,9 @@
     /// Expected time of the load in the last order.
     load_ms: u64,
     accepted_ms: u64,
-    /// When the first unload was accepted, and how much later the load was.
+    /// When the first unload was accepted.
     unload_ms: Option<u64>,
+    /// How much later than the first unload the load was accepted.
     unloaded_after_ms: Option<u64>,
     unanswered: u32,
     conflicts: u32,
--- a/crates/trestle-dispatch/src/outage.rs
+++ b/crates/trestle-dispatch/src/outage.rs
@@ -5,7 +5,7 @@
 
 /// Pause after the first failed attempt.
 const FIRST_PAUSE_MS: u64 = 250;
-/// Time for which the next attempt is reserved for a polling caller that was refused one;
+/// Time for which the next attempt is reserved for a polling reader that was refused one;
 /// slightly longer than its polling interval.
 const RESERVED_MS: u64 = 300;
 
@@ -18,7 +18,7 @@
     next_attempt_ms: u64,
     /// Whether an attempt is running.
     is_attempting: bool,
-    /// Whether the next attempt is reserved for a polling caller.
+    /// Whether the next attempt is reserved for a polling reader.
     is_reserved: bool,
 }
 
@@ -60,8 +60,8 @@
         self.next_attempt_ms = now_ms + self.pause_ms;
     }
 
-    /// Returns whether an attempt is due, for a caller that polls. If none is due, the next one
-    /// is reserved for it: callers that wait for the exact moment would otherwise take every
+    /// Returns whether an attempt is due, for a reader that polls. If none is due, the next one
+    /// is reserved for it: readers that wait for the exact moment would otherwise claim every
     /// attempt before it polls again, and a daemon could not acquire a free lease for 20 s.
     pub fn may_try(&mut self, now_ms: u64) -> bool {
         self.is_reserved = now_ms < self.next_attempt_ms;
--- a/crates/trestle-dispatch/src/placement_log.rs
+++ b/crates/trestle-dispatch/src/placement_log.rs
@@ -258,7 +258,7 @@
         let kept_since = self.sequence - self.changes.len() as u64;
         let from = sequence.clamp(kept_since, self.sequence) - kept_since;
         let name = |number| self.numbers.name(number).cloned();
-        let arrived = self.changes.range(from as usize..).filter_map(|change| match *change {
+        let loaded = self.changes.range(from as usize..).filter_map(|change| match *change {
             PlacementChange::Model { model, .. } => {
                 Some(Loadable { model: name(model)?.into(), adapter: None })
             }
@@ -267,7 +267,7 @@
             }
             _ => None,
         });
-        arrived.collect()
+        loaded.collect()
     }
 
     /// Returns the engines, in the order in which their loads are reported.
--- a/crates/trestle-dispatch/src/placing/adapters.rs
+++ b/crates/trestle-dispatch/src/placing/adapters.rs
@@ -27,7 +27,7 @@
                     self.plan.ready_in_ms.insert(loadable, ready_in_ms);
                     self.begin(change);
                 }
-                None => self.record_host_ready(loadable),
+                None => self.record_engine_ready(loadable),
             }
             return;
         };
@@ -65,12 +65,12 @@
     fn load_adapter(&self, model: &ModelName, adapter: &AdapterName) -> Option<Change> {
         let spec = self.spec.models.get(model)?;
         let key = (model.clone(), adapter.clone());
-        let hosts = self.hosts(model).filter(|state| {
+        let engines = self.engines_with(model).filter(|state| {
             state.may_change
                 && state.change.is_none()
                 && self.planned_at(&state.endpoint.name).is_none()
         });
-        let ranked = hosts.filter_map(|state| {
+        let ranked = engines.filter_map(|state| {
             let loaded: usize = state.held.values().map(BTreeSet::len).sum();
             let is_full = loaded as u64 >= u64::from(self.spec.adapter_slots);
             let used_mb = self.spec.held_mb(state.held);
@@ -98,8 +98,8 @@
     }
 
     /// Records when the first engine with the model can load the adapter.
-    fn record_host_ready(&mut self, loadable: Loadable) {
-        let free_in_ms = self.hosts(&loadable.model).map(|state| {
+    fn record_engine_ready(&mut self, loadable: Loadable) {
+        let free_in_ms = self.engines_with(&loadable.model).map(|state| {
             let change = state.change.or_else(|| self.planned_at(&state.endpoint.name));
             match change {
                 Some(change) => change.remaining_ms(self.now_ms),
@@ -113,7 +113,10 @@
     }
 
     /// Returns the engines that hold a model and are not about to evict it, or are loading it.
-    fn hosts<'b>(&'b self, model: &'b ModelName) -> impl Iterator<Item = &'b EngineState<'a>> {
+    fn engines_with<'b>(
+        &'b self,
+        model: &'b ModelName,
+    ) -> impl Iterator<Item = &'b EngineState<'a>> {
         self.engines.values().filter(move |state| {
             let planned = self.planned_at(&state.endpoint.name);
             let evicts = planned.is_some_and(|change| change.evicted.contains(model));
--- a/crates/trestle-dispatch/src/placing/remote.rs
+++ b/crates/trestle-dispatch/src/placing/remote.rs
@@ -13,7 +13,8 @@
 
 /// Number of simultaneous loads that the weight store serves at full speed.
 const FULL_SPEED_LOADS: usize = 4;
-/// Time without a replica after which the demand for a model counts twice: about one load.
+/// Time without a replica after which the demand for a model counts twice: about the duration of
+/// one load.
 const MISSING_DOUBLES_MS: f64 = 6_000.0;
 /// Time after which room can be made where there is none now: about as long as a loaded model is
 /// kept.
@@ -79,7 +80,8 @@
     /// Records when models whose turn has not come will be ready.
     fn record_turns(&mut self, waiting: &[&AggregateDemand<'a>]) {
         let mut ends: BinaryHeap<Reverse<u64>> = self.remote_ends_ms().map(Reverse).collect();
-        // A load that could begin but does not has no room for now.
+        // If fewer loads are in progress than this leader may start, no engine has room for a
+        // further one now.
         while ends.len() < self.max_remote_loads() {
             ends.push(Reverse(MAKE_ROOM_MS));
         }
--- a/crates/trestle-dispatch/src/placing/value.rs
+++ b/crates/trestle-dispatch/src/placing/value.rs
@@ -23,7 +23,8 @@
 const HALF_LATE_FILL: f64 = 0.5;
 /// Value of a late request relative to one that finds no replica.
 const LATE_PART: f64 = 0.6;
-/// Fixed cost of a swap, against undoing it soon: the engine carries out no other order meanwhile.
+/// Fixed cost of a swap, so that it is not soon undone: the engine carries out no other order
+/// meanwhile.
 pub(super) const SWAP_MS: f64 = 300.0;
 /// Extra value of a last replica whose model was requested just now; among equals, the model
 /// requested longest ago is evicted first.
@@ -55,7 +56,7 @@
         self.shortfall_ms(model, replicas.saturating_sub(1)) - self.shortfall_ms(model, replicas)
     }
 
-    /// Returns the delay of callers of a model that has so many replicas.
+    /// Returns the delay of callers of a model that has this number of replicas.
     fn shortfall_ms(&self, model: &ModelName, replicas: u32) -> f64 {
         let missed_ms = self.demand.rates().per_s(model, self.now_ms) * HORIZON_S * MISSED_MS;
         if replicas == 0 {
--- a/crates/trestle-dispatch/src/quota_allocator.rs
+++ b/crates/trestle-dispatch/src/quota_allocator.rs
@@ -4,7 +4,7 @@
 //! The load that this answers: callers of a team who are spread unevenly, perhaps half of them at
 //! one daemon, beside a team that sends many times its limit. Units are allocated one request at
 //! a time in the order of the daemons' requests, so none lie unused at daemons that do not need
-//! them; a team that has none left costs others nothing but the request.
+//! them; a team that has none left costs others only the handling of its requests for units.
 
 use crate::{
     quota::{QuotaBounds, QuotaPlan},
@@ -18,9 +18,8 @@
 const REFUSED_DECAY_MS: f64 = 1_000.0;
 /// Largest part of a bucket that is transferred to another leader.
 const MAX_TRANSFER_PART: f64 = 0.5;
-/// Time for which other leaders are not asked again after they had nothing to transfer.
+/// Time for which no units are requested from other leaders again after they had none to transfer.
 const EMPTY_TRANSFER_MS: u64 = 150;
-
 /// Time after which a lease that ran out has no effect any more.
 const LAPSED_EXPIRY_MS: u64 = 10_000;
 
@@ -59,7 +58,7 @@
     credited_ms: u64,
     /// Units that were refused recently, with exponential decay.
     refused: f64,
-    /// When other leaders may be asked for units again.
+    /// When units may be requested from other leaders again.
     next_transfer_ms: u64,
 }
 
@@ -194,8 +193,8 @@
     }
 
     /// Returns the number of units to request from other leaders for a requester that needs
-    /// `units`: these, and as many again for the next one. Returns `None` while other leaders
-    /// must not be asked.
+    /// `units`: these, and as many again for the next one. Returns `None` while nothing may be
+    /// requested from other leaders.
     pub fn units_to_request(
         &mut self,
         key: &K,
--- a/crates/trestle-dispatch/src/replicas.rs
+++ b/crates/trestle-dispatch/src/replicas.rs
@@ -40,7 +40,7 @@
 impl ReplicaView {
     /// Returns the models and adapters for which an endpoint may receive requests.
     pub fn holds<'a>(&'a self, endpoint: &'a Endpoint) -> &'a Held {
-        self.engines.get(&endpoint.name).map_or(&endpoint.held, |note| &note.holds)
+        self.engines.get(&endpoint.name).map_or(&endpoint.held, |summary| &summary.holds)
     }
 
     /// Returns whether a request for a model, and optionally an adapter, can run at an endpoint.
@@ -56,6 +56,6 @@
 
     /// Returns the number of requests of all daemons that run at an endpoint, as far as known.
     pub fn running(&self, endpoint: &EndpointName) -> u32 {
-        self.engines.get(endpoint).map_or(0, |note| note.running)
+        self.engines.get(endpoint).map_or(0, |summary| summary.running)
     }
 }
--- a/crates/trestle-dispatch/src/retry_share.rs
+++ b/crates/trestle-dispatch/src/retry_share.rs
@@ -13,8 +13,8 @@
 /// Part of the ratio that is used: not every message that a daemon takes for a caller's request
 /// counts as one in the budget.
 const USED_RATIO: f64 = 0.85;
-/// Slices by which the window of requests is shorter than that of repeats, so that rounding to
-/// whole slices never adds requests to a window.
+/// Slices by which the window of requests is shorter than that of further sends, so that rounding
+/// to whole slices never adds requests to a window.
 const SPARE_SLICES: u64 = 2;
 /// Part of the fixed number that is distributed; the rest covers daemons that have just started and
 /// are not counted yet.
@@ -41,7 +41,7 @@
 struct Slice {
     number: u64,
     requests: u32,
-    repeats: u32,
+    further_sends: u32,
 }
 
 impl RetryShare {
@@ -57,7 +57,7 @@
     pub fn spend(&mut self, now_ms: u64, bounds: &RetryBounds, daemons: usize) -> bool {
         let has_room = self.has_room(now_ms, bounds, daemons);
         if has_room {
-            self.slice(now_ms).repeats += 1;
+            self.slice(now_ms).further_sends += 1;
         }
         has_room
     }
@@ -69,13 +69,13 @@
             .saturating_sub(bounds.window_ms.div_ceil(SLICE_MS));
         let counted = self.slices.iter().filter(|slice| slice.number >= first);
         let requests: u32 = counted.map(|slice| slice.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
+        let further_sends: u32 = self.slices.iter().map(|slice| slice.further_sends).sum();
         let fixed = match daemons {
             0 => 0.0,
             daemons => f64::from(bounds.fixed) * SHARED_PART / daemons as f64,
         };
         let earned = f64::from(requests) * bounds.ratio * USED_RATIO;
-        f64::from(repeats + 1) <= earned + fixed
+        f64::from(further_sends + 1) <= earned + fixed
     }
 
     fn slice(&mut self, now_ms: u64) -> &mut Slice {
--- a/crates/trestle-dispatch/src/selection.rs
+++ b/crates/trestle-dispatch/src/selection.rs
@@ -242,14 +242,14 @@
     let local_demand = local_view.local_demand.get(request.service);
     let is_planned = local_demand
         .zip(request.demand_id)
-        .is_some_and(|(local_demand, demand)| local_demand.is_planned(demand));
+        .is_some_and(|(local_demand, demand_id)| local_demand.is_planned(demand_id));
     if is_planned { Forecast::Unknown } else { Forecast::NotReported }
 }
 
 /// Returns for how long the leader has reported the model as ready while this request waits for it.
 fn ready_for_ms(local_view: &mut LocalView, request: RequestContext<'_>, now_ms: u64) -> u64 {
     let waiting = &mut local_view.local_demand_for(request.service).waiting;
-    let demand = request.demand_id.and_then(|number| waiting.get_mut(&number));
+    let demand = request.demand_id.and_then(|demand_id| waiting.get_mut(&demand_id));
     let ready_ms = demand.map(|demand| *demand.ready_ms.get_or_insert(now_ms));
     ready_ms.map_or(0, |ready_ms| now_ms.saturating_sub(ready_ms))
 }
--- a/crates/trestle-dispatch/src/sends.rs
+++ b/crates/trestle-dispatch/src/sends.rs
@@ -43,8 +43,8 @@
     /// The endpoint of the last send.
     pub last: Option<EndpointName>,
     sent_to: BTreeSet<EndpointName>,
-    /// Endpoints that get no further send before a time; with `u64::MAX`, only if there is no
-    /// other.
+    /// Endpoints that get no further send before a time; with `u64::MAX`, they get one only if
+    /// there is no other endpoint.
     paused_until_ms: BTreeMap<EndpointName, u64>,
     /// Whether the last send was the first to its endpoint.
     is_last_new: bool,
--- a/crates/trestle-dispatch/src/service_state.rs
+++ b/crates/trestle-dispatch/src/service_state.rs
@@ -242,7 +242,7 @@
             .collect()
     }
 
-    /// Takes over the engines' own entries unless something newer is known.
+    /// Applies the engines' own entries unless something newer is known.
     fn apply_entries(&mut self, directory: &BTreeMap<EndpointName, Arc<Endpoint>>, now_ms: u64) {
         self.engines.retain(|name, _| directory.contains_key(name));
         for endpoint in directory.values() {
--- a/crates/trestle-dispatch/src/sharing.rs
+++ b/crates/trestle-dispatch/src/sharing.rs
@@ -109,7 +109,7 @@
 
 impl Sharing {
     /// Replaces what is known of the other leaders.
-    pub fn update(&mut self, others: OtherLeaders) {
+    pub fn update(&mut self, other_leaders: OtherLeaders) {
         let OtherLeaders {
             own_groups,
             mut live_groups,
@@ -117,7 +117,7 @@
             engines,
             loading,
             planned,
-        } = others;
+        } = other_leaders;
         live_groups.extend(own_groups.iter().cloned());
         self.own_groups = own_groups;
         self.live_groups = live_groups;
@@ -185,7 +185,7 @@
         })
     }
 
-    /// Records that there still is demand for these.
+    /// Records that there is still demand for each of `demands`.
     pub fn renew(&mut self, demands: &[Loadable], now_ms: u64) {
         for demand in demands {
             if let Some(assignment) = self.assignments.get_mut(demand) {
--- a/crates/trestle-dispatch/src/sync_intervals.rs
+++ b/crates/trestle-dispatch/src/sync_intervals.rs
@@ -9,12 +9,12 @@
 const IDLE_MS: u64 = 300;
 /// Shortest interval between two syncs, for few daemons.
 const MIN_MS: u64 = 20;
-/// Added per daemon to the interval while requests wait.
+/// Interval while requests wait, per daemon, for many daemons.
 const DAEMON_WAITING_MS: u64 = 3;
-/// Added per daemon to the interval while no request waits.
+/// Interval while no request waits, per daemon, for many daemons.
 const DAEMON_IDLE_MS: u64 = 5;
-/// Added per two daemons to the shortest interval. A sync that comes so soon is caused by a request
-/// that begins to wait, and one daemon in sixty has one such request a second.
+/// Shortest interval, per two daemons, for many daemons. A sync that comes so soon is caused by a
+/// request that begins to wait, and one daemon in sixty has one such request a second.
 const TWO_DAEMONS_MIN_MS: u64 = 1;
 
 /// Whatever the number of daemons, a daemon syncs within the shortest bound on the age of what it
--- a/crates/trestle-dispatch/src/team.rs
+++ b/crates/trestle-dispatch/src/team.rs
@@ -79,7 +79,7 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
-            LimitUnit::Tokens { default_tokens: of_plain } => tokens.unwrap_or(of_plain),
+            LimitUnit::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
--- a/crates/trestle-dispatch/src/trials.rs
+++ b/crates/trestle-dispatch/src/trials.rs
@@ -14,7 +14,7 @@
 /// it has crashed, and all daemons know.
 const TRIAL_MS: u64 = 3_000;
 /// Largest number of attempts recorded at once; further ones are rejected.
-const MOST_TRIALS: usize = 4_096;
+const MAX_TRIALS: usize = 4_096;
 
 /// The running attempts, by request.
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the time in ms after which the VM may ask again.
+    /// Fails with the time in ms after which the VM may request the attempt again.
     pub fn begin(
         &mut self,
         request: Fingerprint,
@@ -59,7 +59,7 @@
         if let Some(trial) = self.by_request.get(&request) {
             return Err(trial.until_ms - now_ms);
         }
-        if self.by_request.len() >= MOST_TRIALS {
+        if self.by_request.len() >= MAX_TRIALS {
             return Err(TRIAL_MS);
         }
         self.by_request.insert(request, Trial { vm, number, until_ms: now_ms + TRIAL_MS });
--- a/crates/trestle-dispatch/src/unresolved_requests.rs
+++ b/crates/trestle-dispatch/src/unresolved_requests.rs
@@ -2,9 +2,9 @@
 //!
 //! The load that this answers: a request that crashes its endpoint while connections are reset,
 //! links are cut, and callers disconnect. A lost connection alone then says little about the
-//! endpoint, and a crash may go without a lost connection. So each request is remembered until
-//! its incarnation of the endpoint answers: while it runs there, and for some seconds after it
-//! was aborted, because its connection was lost or no caller waited for it any more. Once an
+//! endpoint, and an endpoint may crash without a lost connection. So each request is remembered
+//! until its incarnation of the endpoint answers: while it runs there, and for some seconds after
+//! it was aborted, because its connection was lost or no caller waited for it any more. Once an
 //! incarnation is known to have terminated, these are the requests that may have crashed it.
 //!
 //! Requests that were aborted earlier must not be blamed: if an endpoint is alive some time after
@@ -159,8 +159,8 @@
 
     /// Records that an endpoint answered a request that was sent at `sent_ms`, over a connection
     /// that was opened at `opened_ms`. An incarnation without a start time is identified by its
-    /// name. Other incarnations under the same name cannot be distinguished by the answer, but by
-    /// the connection: one that was open before the abort still leads to the same incarnation.
+    /// name alone. Otherwise the answer does not show which incarnation under the name sent it, but
+    /// the connection does: one that was open before an abort still leads to the same incarnation.
     pub fn answered(&mut self, incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) {
         let Some(requests) = self.incarnations.get_mut(incarnation) else { return };
         let is_identified_by_name = incarnation.started_unix_ms == 0;
@@ -190,11 +190,11 @@
     /// Returns the number of incarnations at which a request was aborted and that may have
     /// crashed under it.
     pub fn unresolved_incarnations(&self, request: Fingerprint, now_ms: u64) -> usize {
-        let is_open = |requests: &&IncarnationRequests| {
+        let is_unresolved = |requests: &&IncarnationRequests| {
             let aborted_ms = requests.aborted.get(&request);
             aborted_ms.is_some_and(|at_ms| now_ms < *at_ms + UNRESOLVED_MS)
         };
-        self.incarnations.values().filter(is_open).count()
+        self.incarnations.values().filter(is_unresolved).count()
     }
 
     /// Records that an incarnation terminated. Returns the requests that may have crashed it.
@@ -218,28 +218,29 @@
         suspects
     }
 
-    /// Returns the incarnations with open requests that are not listed and not known to have
+    /// Returns the incarnations with unresolved requests that are not listed and not known to have
     /// terminated.
     pub fn unlisted(&self, is_listed: impl Fn(&Incarnation) -> bool) -> Vec<Incarnation> {
-        self.open()
+        self.unresolved()
             .map(|(incarnation, _)| incarnation)
             .filter(|incarnation| !is_listed(incarnation))
             .cloned()
             .collect()
     }
 
-    /// Returns the incarnations of other endpoints at an address that have open requests and are
-    /// not known to have terminated.
+    /// Returns the incarnations of other endpoints at an address that have unresolved requests and
+    /// are not known to have terminated.
     pub fn others_at(&self, address: SocketAddr, name: &EndpointName) -> Vec<Incarnation> {
-        let others = self.open().filter(|(_, requests)| requests.address == Some(address));
-        others
+        let at_address =
+            self.unresolved().filter(|(_, requests)| requests.address == Some(address));
+        at_address
             .map(|(incarnation, _)| incarnation)
             .filter(|incarnation| incarnation.name != *name)
             .cloned()
             .collect()
     }
 
-    fn open(&self) -> impl Iterator<Item = (&Incarnation, &IncarnationRequests)> {
+    fn unresolved(&self) -> impl Iterator<Item = (&Incarnation, &IncarnationRequests)> {
         self.incarnations.iter().filter(|(_, requests)| requests.terminated_ms.is_none())
     }
 
@@ -260,7 +261,7 @@
 impl IncarnationRequests {
     /// Returns whether the value holds nothing that is still needed.
     fn is_empty(&self) -> bool {
-        let is_open = !self.running.is_empty() || !self.aborted.is_empty();
-        !is_open && !self.is_being_checked && self.terminated_ms.is_none()
+        let has_requests = !self.running.is_empty() || !self.aborted.is_empty();
+        !has_requests && !self.is_being_checked && self.terminated_ms.is_none()
     }
 }
