--- a/crates/trestle-session/src/daemon_process.rs
+++ b/crates/trestle-session/src/daemon_process.rs
@@ -55,7 +55,7 @@
         self.child.as_ref().map_or(0, Child::id)
     }
 
-    /// Starts the daemon again after it has stopped; its log begins anew.
+    /// Starts the daemon again after it has stopped; the log is overwritten.
     ///
     /// # Errors
     ///
