--- a/crates/trestle-dispatch/tests/traffic.rs
+++ b/crates/trestle-dispatch/tests/traffic.rs
@@ -125,10 +125,10 @@
     }
 
     load_balance_comes_before_the_own_domain => {
-        let mut fixture = Fixture::new(vec![endpoint("remote", "z2", &[]), endpoint("local", "z1", &[])]);
-        assert_eq!(fixture.choose(None, None, 1).as_deref(), Some("local"));
-        fixture.local_view.records.sent(&"local".into());
-        assert_eq!(fixture.choose(None, None, 1).as_deref(), Some("remote"));
+        let mut fixture = Fixture::new(vec![endpoint("far", "z2", &[]), endpoint("near", "z1", &[])]);
+        assert_eq!(fixture.choose(None, None, 1).as_deref(), Some("near"));
+        fixture.local_view.records.sent(&"near".into());
+        assert_eq!(fixture.choose(None, None, 1).as_deref(), Some("far"));
     }
 
     excluded_or_recently_failing_endpoints_come_last => {
--- a/crates/trestle-lab/src/control/sync.rs
+++ b/crates/trestle-lab/src/control/sync.rs
@@ -46,8 +46,8 @@
 
 impl Simulation<'_> {
     /// Returns the VM that a daemon queries next: itself if it leads, else a holder of a lease
-    /// that it knows. The holder for its home group comes first, and each failed sync moves on by
-    /// one.
+    /// that it knows. It queries the holder for its home group first, and another holder after each
+    /// failed sync.
     fn leader_to_query(&self, number: usize) -> Option<usize> {
         let vm = &self.vms[number];
         let now_ms = self.clock_ms(number);
@@ -60,10 +60,11 @@
             is_other.then(|| self.vms.iter().position(|other| other.name.as_str() == row.holder))?
         };
         let home = vm.groups.home_group(&vm.domain);
-        let mut others: Vec<&DomainName> =
+        let mut other_groups: Vec<&DomainName> =
             vm.groups.all().iter().filter(|group| *group != home).collect();
-        others.sort_by_key(|group| groups::rank(vm.name.as_str(), group));
-        let all: Vec<usize> = std::iter::once(home).chain(others).filter_map(holder_of).collect();
+        other_groups.sort_by_key(|group| groups::rank(vm.name.as_str(), group));
+        let all: Vec<usize> =
+            std::iter::once(home).chain(other_groups).filter_map(holder_of).collect();
         all.get(vm.attempt % all.len().max(1)).copied()
     }
 
@@ -205,8 +206,8 @@
     }
 }
 
-/// Returns what a daemon lacks of the leader's log, which is updated first unless that was done
-/// just before.
+/// Returns what a daemon lacks of the leader's log, which is updated first unless its last update
+/// is more recent than [`LOG_REUSE_MS`].
 fn placement_delta(
     leader: &mut Vm,
     held: &BTreeMap<EndpointName, Held>,
--- a/crates/trestle-lab/src/experiment.rs
+++ b/crates/trestle-lab/src/experiment.rs
@@ -99,7 +99,7 @@
     pub fn difference(&self, other: &Self, figure: &str) -> Difference {
         let pairs = self.outcomes.iter().zip(&other.outcomes);
         let differences: Vec<f64> =
-            pairs.map(|(one, other)| one.figure(figure) - other.figure(figure)).collect();
+            pairs.map(|(own, other)| own.figure(figure) - other.figure(figure)).collect();
         let count = differences.len() as f64;
         let mean = differences.iter().sum::<f64>() / count.max(1.0);
         let variance = differences.iter().map(|value| (value - mean).powi(2)).sum::<f64>()
--- a/crates/trestle-lab/src/report.rs
+++ b/crates/trestle-lab/src/report.rs
@@ -104,7 +104,7 @@
 
 /// Returns the mean figures of all variants and their differences to the first, as JSON.
 pub fn table_json(results: &[VariantOutcomes]) -> Value {
-    let each = results.iter().map(|variant| {
+    let variants = results.iter().map(|variant| {
         let figures = FIGURES.iter().map(|figure| {
             let difference = variant.difference(&results[0], figure);
             let content = json!({
@@ -117,7 +117,7 @@
         let figures: serde_json::Map<String, Value> = figures.collect();
         json!({"name": variant.name, "seeds": variant.outcomes.len(), "figures": figures})
     });
-    each.collect()
+    variants.collect()
 }
 
 /// Returns an HTML page with the table and plots of some figures.
--- a/crates/trestle-lab/src/sim/engine.rs
+++ b/crates/trestle-lab/src/sim/engine.rs
@@ -118,7 +118,8 @@
     prefix_cache: BTreeMap<(ModelName, Option<AdapterName>, u32), u64>,
     /// Prompt tokens that the current step reads; `None` while no step runs.
     step: Option<u32>,
-    /// Number of this start of the engine; events of earlier starts in the same place are ignored.
+    /// Number of this start of the engine; events of earlier starts at the same index are
+    /// ignored.
     pub(super) start: u64,
 }
 
@@ -383,7 +384,7 @@
             }
             ActiveOrder::Unload(model) => {
                 self.held.remove(&model);
-                self.prefix_cache.retain(|(of, ..), _| *of != model);
+                self.prefix_cache.retain(|(cached, ..), _| *cached != model);
             }
             ActiveOrder::LoadAdapter(model, adapter) => {
                 if let Some(adapters) = self.held.get_mut(&model) {
--- a/crates/trestle-lab/src/sim/faults.rs
+++ b/crates/trestle-lab/src/sim/faults.rs
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Returns the places of the engines that a fault affects. The selection depends on the number
+    /// Returns the indexes of the engines that a fault affects. The selection depends on the number
     /// of the fault, so that faults affect different engines.
     fn affected_engines(&self, fault: usize, count: usize) -> Vec<usize> {
-        let places = self.deployment.engines.count;
-        (0..count.min(places)).map(|number| (number * 5 + fault * 3 + 1) % places).collect()
+        let engines = self.deployment.engines.count;
+        (0..count.min(engines)).map(|number| (number * 5 + fault * 3 + 1) % engines).collect()
     }
 
     /// Stops an engine: its requests fail, and its entry lapses in the store.
@@ -97,7 +97,8 @@
         self.list.sort_by_key(|(at_us, _)| *at_us);
     }
 
-    /// Starts a new engine in a place, with the disk of the previous engine if `keeps_disk`.
+    /// Replaces the engine at index `place` by a new one, which has the disk of the previous engine
+    /// if `keeps_disk`.
     fn start_engine(&mut self, place: usize, keeps_disk: bool) {
         let start = self.engines[place].start + 1;
         let domain = domain_name(place % self.deployment.domains);
@@ -112,8 +113,7 @@
     }
 
     /// Runs one stage of a release. The first stages replace one batch of engines each: new
-    /// engines start in new places and the old ones begin to drain. Later stages stop the drained
-    /// batches.
+    /// engines are added and the old ones begin to drain. Later stages stop the drained batches.
     fn release(
         &mut self,
         number: usize,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Adds an engine in the failure domain of a place.
+    /// Adds an engine in the failure domain of the engine at index `place`.
     fn add_engine(&mut self, place: usize) {
         let number = self.engines.len();
         let domain = domain_name(place % self.deployment.domains);
@@ -170,10 +170,10 @@
     /// Stops daemons other than the leader; their callers leave.
     fn stop_daemons(&mut self, count: usize) {
         for number in 0..count.min(self.daemons.len().saturating_sub(1)) {
-            let place = (self.leader.daemon + 1 + number) % self.daemons.len();
-            self.daemons[place].is_alive = false;
+            let daemon = (self.leader.daemon + 1 + number) % self.daemons.len();
+            self.daemons[daemon].is_alive = false;
             let interrupted: Vec<usize> = (0..self.requests.len())
-                .filter(|request| self.requests[*request].is_at_daemon(place))
+                .filter(|request| self.requests[*request].is_at_daemon(daemon))
                 .collect();
             for request in interrupted {
                 self.caller_left(request);
--- a/crates/trestle-lab/src/sim/leader.rs
+++ b/crates/trestle-lab/src/sim/leader.rs
@@ -98,8 +98,8 @@
         SyncIntervals::new(self.daemons[daemon].local_view.daemons, BOUND_MS)
     }
 
-    /// Schedules the next report as early as the intervals allow, since a request has begun to
-    /// wait.
+    /// Schedules the next report as early as the intervals allow, since the daemon's local demand
+    /// has changed.
     pub(super) fn expedite_sync(&mut self, daemon: usize) {
         let min_us = self.sync_intervals(daemon).min_ms() * 1_000;
         let daemon_state = &self.daemons[daemon];
--- a/crates/trestle-lab/src/sim/requests.rs
+++ b/crates/trestle-lab/src/sim/requests.rs
@@ -19,7 +19,7 @@
 
 /// Longest interval between two endpoint selections for a waiting request.
 const MAX_RECHECK_MS: u64 = 250;
-/// A rejected caller retries after at most this fraction (one third) of its remaining time.
+/// A rejected caller retries after at most its remaining time divided by this number.
 const RETRY_DELAY_DIVISOR: u64 = 3;
 
 /// The phase of a request.
@@ -91,8 +91,9 @@
         };
         let model = arrival.model;
         self.model_requests.entry(model).or_insert((0, false)).0 += 1;
-        let held = |engine: &super::engine::Engine| engine.held.contains_key(&self.names[model]);
-        let was_cold = !self.engines.iter().any(held);
+        let holds_model =
+            |engine: &super::engine::Engine| engine.held.contains_key(&self.names[model]);
+        let was_cold = !self.engines.iter().any(holds_model);
         self.requests.push(Request {
             phase: Phase::AtCaller,
             attempt: 0,
@@ -224,8 +225,8 @@
         let request_state = &mut self.requests[request];
         let daemon = &mut self.daemons[request_state.daemon];
         daemon.waiting.remove(&request);
-        if let Some(number) = request_state.demand_id.take() {
-            daemon.local_view.local_demand_for(&self.service).waiting.remove(&number);
+        if let Some(demand_id) = request_state.demand_id.take() {
+            daemon.local_view.local_demand_for(&self.service).waiting.remove(&demand_id);
         }
     }
 
--- a/crates/trestle-lab/src/sim/simulation.rs
+++ b/crates/trestle-lab/src/sim/simulation.rs
@@ -47,8 +47,8 @@
     CallerArrives(usize),
     /// A caller's attempt at a request reaches a daemon.
     CallerAttempt(usize),
-    /// A daemon selects an endpoint again for a waiting request, unless it has done so since this
-    /// event with its turn was scheduled.
+    /// A daemon selects an endpoint again for a waiting request; ignored unless the turn is that of
+    /// the request's latest selection.
     Recheck(usize, u64),
     /// The caller of a request leaves, if this attempt of the caller is still the current one.
     CallerLeaves(usize, u32),
@@ -225,10 +225,10 @@
     fn place_initial_models(&mut self, engine: &mut Engine, number: usize) {
         let busy = self.deployment.models.busy_shares.len();
         let count = self.deployment.engines.count;
-        let mut wanted: Vec<usize> =
+        let mut candidates: Vec<usize> =
             (0..busy).filter(|model| (number + model).is_multiple_of(busy + 1)).collect();
-        wanted.extend((busy..self.names.len()).filter(|model| model % count == number));
-        for model in wanted {
+        candidates.extend((busy..self.names.len()).filter(|model| model % count == number));
+        for model in candidates {
             let mut held = engine.held.clone();
             held.insert(self.names[model].clone(), BTreeSet::new());
             if self.spec.held_mb(&held) <= self.spec.memory_mb {
--- a/crates/trestle-lab/src/sim/workload.rs
+++ b/crates/trestle-lab/src/sim/workload.rs
@@ -27,13 +27,13 @@
 pub(super) fn adapter_count(deployment: &Deployment, model: usize) -> usize {
     let (models, adapters) = (deployment.models.count, deployment.models.adapters);
     // Each model gets half of the adapters that remain after the models before it, rounded up.
-    let mut left = adapters;
+    let mut remaining = adapters;
     for number in 0..models {
-        let share = left.div_ceil(2).min(left);
+        let share = remaining.div_ceil(2).min(remaining);
         if number == model {
             return share;
         }
-        left -= share;
+        remaining -= share;
     }
     0
 }
@@ -75,7 +75,7 @@
 /// Returns the factor by which bursts multiply the rate of a class at a time.
 fn rate_factor(deployment: &Deployment, class: &str, at_s: f64) -> f64 {
     let bursts = deployment.faults.iter().filter_map(|fault| match fault {
-        Fault::Burst { at_s: from_s, for_s, class: of, times } if of == class => {
+        Fault::Burst { at_s: from_s, for_s, class: affected, times } if affected == class => {
             (*from_s <= at_s && at_s < from_s + for_s).then_some(*times)
         }
         _ => None,
@@ -86,7 +86,7 @@
 /// Returns an upper bound of [`rate_factor`] over the whole run.
 fn max_rate_factor(deployment: &Deployment, class: &str) -> f64 {
     let bursts = deployment.faults.iter().filter_map(|fault| match fault {
-        Fault::Burst { class: of, times, .. } if of == class => Some(times.max(1.0)),
+        Fault::Burst { class: affected, times, .. } if affected == class => Some(times.max(1.0)),
         _ => None,
     });
     bursts.product()
@@ -110,11 +110,11 @@
 /// Returns by how many ranks the order of models has shifted for one request. During a shift a
 /// growing share of requests, selected by `sample`, already follows the new order.
 fn rank_shift(deployment: &Deployment, at_s: f64, sample: f64) -> usize {
-    let moved = deployment.faults.iter().filter(|fault| match fault {
+    let shifts = deployment.faults.iter().filter(|fault| match fault {
         Fault::ModelShift { at_s: from_s, for_s } => {
             at_s >= *from_s && sample < (at_s - from_s) / for_s.max(1e-9)
         }
         _ => false,
     });
-    moved.count()
+    shifts.count()
 }
--- a/crates/trestle-lab/tests/control.rs
+++ b/crates/trestle-lab/tests/control.rs
@@ -195,8 +195,8 @@
     }
 
     an_invalid_plan_is_rejected_with_its_field => {
-        let broken = LARGE.replace("\"domains\": 5", "\"domains\": 0");
-        let error = ControlPlan::parse(&broken, "a plan").expect_err("the plan has no domain");
+        let invalid = LARGE.replace("\"domains\": 5", "\"domains\": 0");
+        let error = ControlPlan::parse(&invalid, "a plan").expect_err("the plan has no domain");
         assert!(error.to_string().contains("domains"), "{error}");
     }
 }
--- a/crates/trestle-lab/tests/days.rs
+++ b/crates/trestle-lab/tests/days.rs
@@ -29,14 +29,14 @@
 }
 
 macro_rules! ablations {
-    ($($(#[$doc:meta])* $name:ident: $file:ident without $mechanism:ident, $figure:literal falls by $least:literal;)+) => {
+    ($($(#[$doc:meta])* $name:ident: $file:ident without $mechanism:ident, $figure:literal falls by $min_fall:literal;)+) => {
         $(
             $(#[$doc])*
             #[test]
             fn $name() {
                 let (all, without) = compare($file, Mechanism::$mechanism);
                 let (with_it, without_it) = (all.mean($figure), without.mean($figure));
-                assert!(with_it - without_it >= $least, "{with_it} with it, {without_it} without");
+                assert!(with_it - without_it >= $min_fall, "{with_it} with it, {without_it} without");
             }
         )+
     };
