--- a/crates/trestle-entry/src/allocation.rs
+++ b/crates/trestle-entry/src/allocation.rs
@@ -96,10 +96,12 @@
     };
     let units = request.units;
     if request.is_leader {
-        let give = |quota_allocator: &mut QuotaAllocator, plan: &_, now_ms| {
+        let transfer = |quota_allocator: &mut QuotaAllocator, plan: &_, now_ms| {
             quota_allocator.transfer_out(&team, units, plan, now_ms)
         };
-        return WireAllocation::Lent { units: with_quota_allocator(daemon, &limited_team, give) };
+        return WireAllocation::Lent {
+            units: with_quota_allocator(daemon, &limited_team, transfer),
+        };
     }
     let (allocation, wanted) =
         with_quota_allocator(daemon, &limited_team, |quota_allocator, plan, now_ms| {
@@ -110,37 +112,37 @@
             (allocation, wanted.flatten())
         });
     let Some(wanted) = wanted else { return allocation.into() };
-    let given = request_from_others(daemon, &team, wanted).await;
-    let second = with_quota_allocator(daemon, &limited_team, |quota_allocator, plan, now_ms| {
-        if given == 0 {
+    let received = request_from_others(daemon, &team, wanted).await;
+    let retried = with_quota_allocator(daemon, &limited_team, |quota_allocator, plan, now_ms| {
+        if received == 0 {
             quota_allocator.record_empty_transfer(&team, now_ms);
             return allocation;
         }
-        quota_allocator.transfer_in(&team, given, plan, now_ms);
-        let second = quota_allocator.allocate(&team, units, plan, now_ms);
+        quota_allocator.transfer_in(&team, received, plan, now_ms);
+        let retried = quota_allocator.allocate(&team, units, plan, now_ms);
         // Both calls of `allocate` are for the same request; its demand counts once.
         quota_allocator.settle_refusal(&team, units);
-        second
+        retried
     });
-    second.into()
+    retried.into()
 }
 
-/// Asks other leaders one after the other until there are enough units. Returns how many they
-/// gave.
+/// Asks other leaders one after the other until there are enough units. Returns how many units they
+/// transferred.
 async fn request_from_others(daemon: &Daemon, team: &TeamName, wanted: u64) -> u64 {
     let others = daemon.query(Message::OtherLeaders).await.unwrap_or_default();
-    let mut given = 0;
+    let mut received = 0;
     for address in others.into_keys() {
-        let units = wanted.saturating_sub(given);
+        let units = wanted.saturating_sub(received);
         if units == 0 {
             break;
         }
         let request = WireAllocationRequest { team: team.to_string(), units, is_leader: true };
         if let WireAllocation::Lent { units } = request_at(daemon, address, request).await {
-            given += units;
+            received += units;
         }
     }
-    given
+    received
 }
 
 /// Calls a function with the allocator after updating it to the leases that this daemon holds at
--- a/crates/trestle-entry/src/cleanup.rs
+++ b/crates/trestle-entry/src/cleanup.rs
@@ -12,7 +12,8 @@
 /// Time between two rounds.
 const INTERVAL_MS: u64 = 500;
 
-/// Shortest difference between the two clocks that counts as a suspension of the VM.
+/// Shortest suspension of the VM that is logged: the time by which the daemon's clock gets ahead of
+/// the monotonic clock, which stands still during a suspension.
 const SUSPENSION_MS: u64 = 100;
 
 /// Removes state that is no longer needed, until the process terminates.
@@ -38,6 +39,6 @@
             local_view.backpressure.retain(|incarnation| live.contains(incarnation), now_ms);
         });
         daemon.with_endpoint_limits(|limits| limits.cleanup(now_ms));
-        daemon.pool.cleanup(|start| live.contains(start));
+        daemon.pool.cleanup(|incarnation| live.contains(incarnation));
     }
 }
--- a/crates/trestle-entry/src/connection_loss.rs
+++ b/crates/trestle-entry/src/connection_loss.rs
@@ -203,9 +203,10 @@
         return;
     }
     let named: Vec<String> = requests.iter().take(MAX_LOGGED).map(ToString::to_string).collect();
-    let (endpoint, born_ms) = (&incarnation.name, incarnation.started_unix_ms);
+    let (endpoint, started_unix_ms) = (&incarnation.name, incarnation.started_unix_ms);
     tracing::warn!(
-        %endpoint, born_ms, known_by, count, requests = ?named, "endpoint: It ended under requests."
+        %endpoint, born_ms = started_unix_ms, known_by, count, requests = ?named,
+        "endpoint: It ended under requests."
     );
     crashes::record_crash(daemon, incarnation, requests);
 }
--- a/crates/trestle-entry/src/control/group_lease.rs
+++ b/crates/trestle-entry/src/control/group_lease.rs
@@ -21,8 +21,8 @@
 const KEY: &str = "leader/";
 /// Time between two renewals; three renewals fit into the time that one of them holds.
 const RENEW_MS: u64 = 600;
-/// Time for which a renewal entitles its holder to give orders. A longer time outlasts a slow
-/// store, a shorter one lets a successor begin sooner.
+/// Time for which a renewal entitles its holder to give orders. A lease with a longer time outlasts
+/// slower answers of the store; with a shorter time, a successor begins sooner.
 const HOLD_MS: u64 = 2_000;
 /// Longest time that an order may be in transit; no order is sent when less than this is left of
 /// the lease.
@@ -191,7 +191,8 @@
             return;
         }
         self.is_acting = is_holder;
-        let (token, version) = self.lease.seen().map_or((0, 0), |(row, v)| (row.token, v));
+        let (token, version) =
+            self.lease.seen().map_or((0, 0), |(row, version)| (row.token, version));
         if is_holder {
             let quiet_ms = self.lease.order_window().0.saturating_sub(now_ms);
             let group = &self.group;
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -39,7 +39,7 @@
     domain: DomainName,
     groups: Groups,
     /// The group whose leader this daemon queries, and since when.
-    home: Option<(DomainName, u64)>,
+    home_group: Option<(DomainName, u64)>,
     by_group: BTreeMap<DomainName, GroupLease>,
     decision_leaders: DecisionLeaders,
     quiet_ms: u64,
@@ -56,7 +56,7 @@
 }
 
 impl Leases {
-    /// Returns the leases of which no row has been read yet.
+    /// Returns the leases before any row has been read.
     pub(crate) fn new(daemon: Arc<Daemon>) -> Self {
         let configured = daemon.settings.domains.iter().map(|domain| domain.as_str().into());
         let configured = configured.collect();
@@ -64,7 +64,7 @@
             incarnation: fastrand::u64(1..),
             domain: daemon.settings.domain.as_str().into(),
             groups: Groups::with_domains(configured),
-            home: None,
+            home_group: None,
             by_group: BTreeMap::new(),
             decision_leaders: DecisionLeaders::default(),
             quiet_ms: daemon.settings.bounds.order_quiet_ms,
@@ -88,10 +88,10 @@
     /// Sets how many daemons query this one.
     pub(crate) fn set_daemons(&mut self, daemons: usize, now_ms: u64) {
         let led = self.led(now_ms);
-        let each = daemons.div_ceil(led.len().max(1)) as u32;
+        let per_group = daemons.div_ceil(led.len().max(1)) as u32;
         for (group, lease) in &mut self.by_group {
             if led.contains(group) {
-                lease.set_daemons(each);
+                lease.set_daemons(per_group);
             }
         }
     }
@@ -204,8 +204,11 @@
         for (group, lease) in &mut self.by_group {
             let takeover_delay_ms =
                 self.groups.takeover_delay_ms(group, &self.domain, &led, now_ms);
-            let home_since_ms =
-                self.home.as_ref().filter(|(home, _)| home == group).map(|(_, since_ms)| *since_ms);
+            let home_since_ms = self
+                .home_group
+                .as_ref()
+                .filter(|(home_group, _)| home_group == group)
+                .map(|(_, since_ms)| *since_ms);
             let may_acquire = |free_from_ms: u64, last: Option<&LeaseRow>| {
                 let (Some(ready_since_ms), Some(wait_ms)) =
                     (self.ready_since_ms, takeover_delay_ms)
@@ -213,8 +216,8 @@
                     return false;
                 };
                 let from_ms = match home_since_ms {
-                    // Stronger VMs go first even if the group has only now become the home group
-                    // of all of them.
+                    // Stronger VMs may acquire the lease first, even if the group has only now
+                    // become the home group of all VMs.
                     Some(home_since_ms) => {
                         let ready_since_ms = ready_since_ms.max(home_since_ms);
                         let candidate = Candidate { millicores, age_ms: now_ms, ready_since_ms };
@@ -245,13 +248,13 @@
             (local_view.directory.domains(), local_view.directory.iter().count())
         });
         self.groups.update(domains, engines, now_ms);
-        let home = self.groups.home_group(&self.domain).clone();
-        if self.home.as_ref().is_none_or(|(known, _)| *known != home) {
-            self.home = Some((home.clone(), now_ms));
-            self.to_read.insert(home.clone());
+        let home_group = self.groups.home_group(&self.domain).clone();
+        if self.home_group.as_ref().is_none_or(|(known, _)| *known != home_group) {
+            self.home_group = Some((home_group.clone(), now_ms));
+            self.to_read.insert(home_group.clone());
         }
         let mut needed: BTreeSet<DomainName> = self.groups.all().clone();
-        needed.insert(home);
+        needed.insert(home_group);
         for group in needed {
             if !self.by_group.contains_key(&group) {
                 self.lease(&group);
@@ -335,8 +338,8 @@
         each.collect()
     }
 
-    /// Returns the leader that this daemon should query after a number of leaders that did not
-    /// answer.
+    /// Returns the leader that this daemon should query after `attempt` consecutive leaders did
+    /// not answer.
     ///
     /// The leader of its own group comes first. If that one does not answer, any other leader
     /// knows the contents of the store and where models are loaded; daemons spread over these
@@ -346,20 +349,20 @@
         if let Some(here) = leading.find(|leader| matches!(leader, Leader::Here { .. })) {
             return here;
         }
-        let home = self.groups.home_group(&self.domain);
-        let at_home = self.by_group.get(home).map(|lease| lease.leader(now_ms));
-        let at_home = at_home.into_iter().filter(|leader| *leader != Leader::Nobody);
+        let home_group = self.groups.home_group(&self.domain);
+        let home_leader = self.by_group.get(home_group).map(|lease| lease.leader(now_ms));
+        let home_leader = home_leader.into_iter().filter(|leader| *leader != Leader::Nobody);
         let vm = self.daemon.settings.vm.as_str();
         let mut others: Vec<(u64, Leader)> = self
             .by_group
             .iter()
-            .filter(|(group, _)| *group != home)
+            .filter(|(group, _)| *group != home_group)
             .map(|(group, lease)| (groups::rank(vm, group), lease.leader(now_ms)))
             .filter(|(_, leader)| *leader != Leader::Nobody)
             .collect();
         others.sort_by_key(|(rank, _)| *rank);
         let all: Vec<Leader> =
-            at_home.chain(others.into_iter().map(|(_, leader)| leader)).collect();
+            home_leader.chain(others.into_iter().map(|(_, leader)| leader)).collect();
         all.get(attempt % all.len().max(1)).cloned().unwrap_or(Leader::Nobody)
     }
 
@@ -391,8 +394,8 @@
         lease.map_or(Leader::Nobody, |lease| lease.leader(now_ms))
     }
 
-    /// Returns the addresses of other leaders, each with a group that it leads and its fencing
-    /// number there.
+    /// Returns the addresses of other leaders, each with a group that the other leader leads, and
+    /// the other leader's fencing number there.
     pub(crate) fn other_leaders(&self, now_ms: u64) -> BTreeMap<SocketAddr, (DomainName, u64)> {
         let each = self.by_group.values().filter_map(|lease| match lease.leader(now_ms) {
             Leader::At { address, group, token } => Some((address, (group, token))),
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -73,8 +73,8 @@
         /// The channel for the answer.
         reply: Sender<Leader>,
     },
-    /// Asks for the addresses of other leaders if this daemon leads; each with a group that it
-    /// leads and its fencing number there.
+    /// Asks for the addresses of other leaders if this daemon leads; each with a group that the
+    /// other leader leads, and the other leader's fencing number there.
     OtherLeaders(Sender<BTreeMap<SocketAddr, (DomainName, u64)>>),
     /// Asks for the sync request to another leader.
     OtherLeaderRequest {
--- a/crates/trestle-entry/src/control/planning.rs
+++ b/crates/trestle-entry/src/control/planning.rs
@@ -39,7 +39,8 @@
         is_due
     }
 
-    /// Forwards demand that other leaders serve to them at once; for use when no plan does so now.
+    /// Marks the other leaders that serve some of the demand here, so that the demand is reported
+    /// to them at once. A plan does the same; this is used when no plan is made now.
     pub(super) fn forward_demand(&mut self, now_ms: u64) {
         let Some(catalog) = self.daemon.shared_view.catalog() else { return };
         let led = self.leases.led(now_ms);
--- a/crates/trestle-entry/src/control/service_view.rs
+++ b/crates/trestle-entry/src/control/service_view.rs
@@ -108,7 +108,8 @@
             true => (&self.own_log, &self.own_view),
             false => (&self.log, &self.view),
         };
-        let running = log.engines().map(|name| view.engines.get(name).map_or(0, |n| n.running));
+        let running =
+            log.engines().map(|name| view.engines.get(name).map_or(0, |summary| summary.running));
         WireServiceView {
             placements: log.delta(requester.position).into(),
             running: running.collect(),
--- a/crates/trestle-entry/src/control/sync_requests.rs
+++ b/crates/trestle-entry/src/control/sync_requests.rs
@@ -50,7 +50,7 @@
                 state.demand.report_received(held.requester.clone(), report, now_ms);
             }
         }
-        // After a plan the answer tells what becomes of the waiting requests.
+        // An answer that follows a plan reports what becomes of the waiting requests.
         let has_planned = self.plan_if_due(now_ms);
         if !is_leader && !has_planned {
             self.forward_demand(now_ms);
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -46,12 +46,12 @@
     pub(crate) fn record_answer(
         &mut self,
         daemon: &Daemon,
-        refused: Option<WireRestrictedRequests>,
+        restricted: Option<WireRestrictedRequests>,
     ) {
         self.acknowledged = self.in_flight;
-        if let Some(refused) = refused {
-            self.received = refused.number;
-            receive_wire(daemon, refused.crashes);
+        if let Some(restricted) = restricted {
+            self.received = restricted.number;
+            receive_wire(daemon, restricted.crashes);
         }
     }
 }
@@ -87,11 +87,12 @@
         let is_rejected = |report: &&CrashReport, crashes: &Crashes| {
             crashes.rejected_for_ms(report.request, now_ms).is_some()
         };
-        let before = reports.iter().filter(|report| is_rejected(report, &local_view.crashes));
-        let before: Vec<&CrashReport> = before.collect();
+        let was_rejected = reports.iter().filter(|report| is_rejected(report, &local_view.crashes));
+        let was_rejected: Vec<&CrashReport> = was_rejected.collect();
         let rejected = local_view.crashes.apply_reports(reports, now_ms);
-        let after = before.into_iter().filter(|report| !is_rejected(report, &local_view.crashes));
-        (rejected, after.map(|report| report.request).collect::<Vec<Fingerprint>>())
+        let readmitted =
+            was_rejected.into_iter().filter(|report| !is_rejected(report, &local_view.crashes));
+        (rejected, readmitted.map(|report| report.request).collect::<Vec<Fingerprint>>())
     });
     for request in readmitted {
         tracing::warn!(%request, "request: Another daemon received a complete answer; the request is no longer rejected.");
--- a/crates/trestle-entry/src/departures.rs
+++ b/crates/trestle-entry/src/departures.rs
@@ -14,8 +14,8 @@
 /// Longest time that a starting daemon waits for the lease rows before it reads the list.
 const MAX_WAIT_MS: u64 = 500;
 
-/// Waits until the lease rows were read, or the read failed: they mark some entries of the list as
-/// not usable.
+/// Waits until the lease rows were read, the read failed, or [`MAX_WAIT_MS`] have passed. The rows
+/// mark some entries of the list as not usable.
 pub(crate) async fn wait_for_rows(daemon: &Daemon) {
     let read = async {
         loop {
@@ -26,10 +26,10 @@
             changed.await;
         }
     };
-    let waited = async {
+    let timed_out = async {
         Timer::after(Duration::from_millis(MAX_WAIT_MS)).await;
     };
-    read.or(waited).await;
+    read.or(timed_out).await;
 }
 
 /// Records the departures that another daemon knows.
--- a/crates/trestle-entry/src/lib.rs
+++ b/crates/trestle-entry/src/lib.rs
@@ -10,8 +10,8 @@
 //! - [`control`] is one thread that holds the leases and plans changes at engines.
 //! - [`wire`] defines the formats of the store, endpoints and callers.
 //!
-//! Imports run from traffic, store, peer and control to `daemon`, `shared_view`, `connection_loss` and `net`,
-//! and from there to decisions.
+//! Modules import in one direction: from traffic, store, peer and control to `daemon`,
+//! `shared_view`, `connection_loss` and `net`, and from there to the decisions.
 
 mod allocation;
 mod cleanup;
@@ -146,11 +146,11 @@
     smol::spawn(cleanup::run(Arc::clone(&daemon))).detach();
     serve_readiness(&daemon, readiness);
     serve_metrics(&daemon, logs, metrics);
-    let closing = serve_callers(&daemon, callers);
+    let shutdown = serve_callers(&daemon, callers);
     let watch = Arc::new(SettingsWatch::new(settings_path));
     smol::spawn(Arc::clone(&watch).run(Arc::clone(&daemon))).detach();
     let reread = || watch.reread(&daemon);
-    stop::wait(&daemon, &closing, reread).await.context(SystemSnafu { what: "signals" })
+    stop::wait(&daemon, &shutdown, reread).await.context(SystemSnafu { what: "signals" })
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
@@ -158,7 +158,7 @@
 }
 
 fn serve_callers(daemon: &Arc<Daemon>, listener: TcpListener) -> Arc<ListenerShutdown> {
-    let closing = Arc::new(ListenerShutdown::default());
+    let shutdown = Arc::new(ListenerShutdown::default());
     let limits = {
         let daemon = Arc::clone(daemon);
         move || match daemon.shared_view.catalog() {
@@ -171,8 +171,8 @@
     };
     let daemon = Arc::clone(daemon);
     let handle = move |request| traffic::handle::handle(Arc::clone(&daemon), request);
-    smol::spawn(serve::run(listener, Arc::clone(&closing), limits, handle)).detach();
-    closing
+    smol::spawn(serve::run(listener, Arc::clone(&shutdown), limits, handle)).detach();
+    shutdown
 }
 
 fn serve_readiness(daemon: &Arc<Daemon>, listener: TcpListener) {
--- a/crates/trestle-entry/src/net/pool.rs
+++ b/crates/trestle-entry/src/net/pool.rs
@@ -31,7 +31,7 @@
 /// Most idle connections that are kept to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// Idle connections, by the start of the endpoint that they were opened to.
+/// Idle connections, by the incarnation of the endpoint that they were opened to.
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
--- a/crates/trestle-entry/src/peer/client.rs
+++ b/crates/trestle-entry/src/peer/client.rs
@@ -19,7 +19,7 @@
 
 /// Time limit for opening a connection.
 const CONNECT_MS: u64 = 300;
-/// Time limit for an answer. It is given at once; a slowed VM takes several times as long.
+/// Time limit for an answer. A leader answers at once, but a slowed VM takes several times as long.
 const ANSWER_MS: u64 = 600;
 
 /// The sync request was not answered.
--- a/crates/trestle-entry/src/peer/leaders.rs
+++ b/crates/trestle-entry/src/peer/leaders.rs
@@ -11,7 +11,7 @@
 
 /// Time between two checks of who leads.
 const CHECK_MS: u64 = 200;
-/// Time between two requests to a leader while nothing here waits for it. Reports of the
+/// Time between two requests to a leader while no demand here waits for that leader. Reports of the
 /// load on its engines are at most that old, plus the pause between two requests of the daemon that
 /// receives them.
 const IDLE_GAP_MS: u64 = 150;
@@ -25,7 +25,9 @@
     let mut tasks: BTreeMap<(SocketAddr, u64), Task<()>> = BTreeMap::new();
     loop {
         let others = daemon.query(Message::OtherLeaders).await.unwrap_or_default();
-        tasks.retain(|(address, token), _| others.get(address).is_some_and(|of| of.1 == *token));
+        tasks.retain(|(address, token), _| {
+            others.get(address).is_some_and(|other| other.1 == *token)
+        });
         for (address, (group, token)) in others {
             let daemon = Arc::clone(&daemon);
             let start = || smol::spawn(exchange_with(daemon, address, group));
@@ -44,7 +46,7 @@
         let message = |reply| Message::OtherLeaderRequest { address, group: group.clone(), reply };
         let Some((mut request, has_new_demand)) = daemon.query(message).await else { return };
         exchange.add_to(&daemon, &mut request);
-        let has_demand = request.digests.iter().any(|digest| !digest.waiting.is_empty());
+        let has_demand = request.digests.iter().any(|report| !report.waiting.is_empty());
         let answered = async { Some(client.sync(address, request).await) };
         let interrupted = async {
             // A request with new demand is answered soon, and the answer must not be lost.
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -142,9 +142,9 @@
             }
             Leader::At { address, group, token } => {
                 let mut request = self.build_request(daemon, &group, token);
-                let (known, exchange) = self.crashes.entry(group.clone()).or_default();
-                if *known != token {
-                    (*known, *exchange) = (token, CrashReportExchange::default());
+                let (known_token, exchange) = self.crashes.entry(group.clone()).or_default();
+                if *known_token != token {
+                    (*known_token, *exchange) = (token, CrashReportExchange::default());
                 }
                 exchange.add_to(daemon, &mut request);
                 let answer = self.client.sync(address, request).await;
@@ -256,9 +256,10 @@
     }
 }
 
-/// Applies the changes of the store that the leader relays. Changes are applied whatever their
-/// age; whether this daemon must follow the store itself depends on it. The age in an answer
-/// refers to the time at which the answer was made, which was after the request.
+/// Applies the changes of the store that the leader relays. The configuration is applied whatever
+/// its age, the list of endpoints only if the relay is fresh enough; a fresh relay also makes it
+/// unnecessary to follow the store for a time. The age in an answer refers to the time at which the
+/// answer was made, which was after the request.
 fn apply_relay(daemon: &Daemon, relay: WireRelay, requested_ms: u64) {
     departures::receive_wire(daemon, relay.departures);
     let is_applied =
--- a/crates/trestle-entry/src/send_permits.rs
+++ b/crates/trestle-entry/src/send_permits.rs
@@ -1,5 +1,5 @@
-//! Send permits for endpoints that have reported limits. For each request a daemon obtains one permit
-//! from the leader of the endpoint's group.
+//! Send permits for endpoints that have reported limits. For each request a daemon obtains one
+//! permit from the leader of the endpoint's group.
 
 use crate::{
     control::message::{Leader, Message},
@@ -17,8 +17,8 @@
     send_permits::{WireSendPermit, WireSendPermitRequest},
 };
 
-/// Requests a send permit for an endpoint. Returns until when the permit is valid. If none is
-/// granted, the reason has been recorded in the local view before this returns.
+/// Requests a send permit for an endpoint. Returns until when the permit is valid. Returns `None`
+/// if no permit is granted, after recording the reason in the local view.
 pub(crate) async fn request(daemon: &Daemon, endpoint: &Endpoint, id: &str) -> Option<u64> {
     let requested_ms = daemon.shared_view.now_ms();
     let incarnation = endpoint.incarnation();
@@ -35,12 +35,12 @@
         silent_ago_ms: requested_ms.saturating_sub(observed.last_without_ms),
         is_passed_on: false,
     };
-    let place = request_from_leader(daemon, request).await;
+    let permit = request_from_leader(daemon, request).await;
     let now_ms = daemon.shared_view.now_ms();
-    tracing::debug!(id, endpoint = %incarnation.name, ?place, "endpoint: A send permit was requested.");
+    tracing::debug!(id, endpoint = %incarnation.name, place = ?permit, "endpoint: A send permit was requested.");
     let change = |local_view: &mut trestle_dispatch::local_view::LocalView| {
         let backpressure = &mut local_view.backpressure;
-        match place {
+        match permit {
             WireSendPermit::Lent => {}
             WireSendPermit::Refused { in_ms } => {
                 backpressure.permit_refused(&incarnation, in_ms, now_ms)
@@ -53,7 +53,7 @@
     if daemon.shared_view.with(change) {
         tracing::info!(endpoint = %incarnation.name, "endpoint: The endpoint no longer reports a limit.");
     }
-    (place == WireSendPermit::Lent).then_some(requested_ms + PERMIT_VALID_MS)
+    (permit == WireSendPermit::Lent).then_some(requested_ms + PERMIT_VALID_MS)
 }
 
 /// Asks the leader of an endpoint's group. If this daemon does not know that leader, its own
--- a/crates/trestle-entry/src/signals.rs
+++ b/crates/trestle-entry/src/signals.rs
@@ -7,7 +7,8 @@
     endpoint::Endpoint,
 };
 
-/// Stands in log lines for the request id where the answer was to an order or a report request.
+/// The value that log lines hold instead of a request id if the answer is to an order or a report
+/// request.
 const ORDER_ID: &str = "order";
 
 /// Processes the signals in the answer to a request, which was sent at `sent_ms`.
@@ -47,21 +48,21 @@
 }
 
 fn log(endpoint: &Endpoint, change: &SignalChange, id: &str) {
-    let (endpoint, born_ms) = (&endpoint.name, endpoint.started_unix_ms);
+    let (endpoint, started_unix_ms) = (&endpoint.name, endpoint.started_unix_ms);
     match change {
         SignalChange::Limit { per_ks } => {
             let limit_per_s = *per_ks as f64 / 1e3;
-            tracing::info!(%endpoint, born_ms, limit_per_s, heard_in = id, "endpoint: The endpoint reports a limit.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, limit_per_s, heard_in = id, "endpoint: The endpoint reports a limit.");
         }
         SignalChange::Draining => {
-            tracing::info!(%endpoint, born_ms, heard_in = id, "endpoint: The endpoint reports that it is draining.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, heard_in = id, "endpoint: The endpoint reports that it is draining.");
         }
         SignalChange::Backoff { for_ms } => {
-            tracing::info!(%endpoint, born_ms, for_ms, heard_in = id, "endpoint: The endpoint requests a backoff.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, for_ms, heard_in = id, "endpoint: The endpoint requests a backoff.");
         }
         SignalChange::Unreadable { what, text } => {
             tracing::warn!(
-                %endpoint, born_ms, what, text, heard_in = id,
+                %endpoint, born_ms = started_unix_ms, what, text, heard_in = id,
                 "endpoint: A signal in an answer cannot be parsed; it is ignored."
             );
         }
--- a/crates/trestle-entry/src/stop.rs
+++ b/crates/trestle-entry/src/stop.rs
@@ -29,7 +29,7 @@
 /// Fails if signals cannot be received.
 pub(crate) async fn wait(
     daemon: &Daemon,
-    closing: &Arc<ListenerShutdown>,
+    shutdown: &Arc<ListenerShutdown>,
     reread: impl Fn(),
 ) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
@@ -45,22 +45,22 @@
     tracing::info!(in_flight = daemon.in_flight.load(Ordering::Relaxed), "stop: Stopping.");
     daemon.stopping.begin(started_ms);
     Timer::after(Duration::from_millis(BALANCER_NOTICE_MS.saturating_sub(elapsed_ms()))).await;
-    closing.begin();
+    shutdown.begin();
     // Orders continue meanwhile, since for a while after the release of the leases no daemon may
     // give any, and this daemon's own requests still wait for models.
     let drained_by_ms = daemon.stopping.limit_ms() - RELEASE_MS;
     let drained = async {
-        while closing.open_connections() > 0 && elapsed_ms() < drained_by_ms {
+        while shutdown.open_connections() > 0 && elapsed_ms() < drained_by_ms {
             Timer::after(Duration::from_millis(CHECK_MS)).await;
         }
     };
     drained.await;
     release_leases(daemon).await;
     let limit_ms = daemon.stopping.limit_ms();
-    while closing.open_connections() > 0 && elapsed_ms() < limit_ms {
+    while shutdown.open_connections() > 0 && elapsed_ms() < limit_ms {
         Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
-    tracing::info!(open = closing.open_connections(), "stop: Stopped.");
+    tracing::info!(open = shutdown.open_connections(), "stop: Stopped.");
     Ok(())
 }
 
--- a/crates/trestle-entry/src/stopping.rs
+++ b/crates/trestle-entry/src/stopping.rs
@@ -47,8 +47,8 @@
 
     /// Returns whether a request can be accepted that may take up to `allowed_ms`.
     ///
-    /// Every request is accepted until the balancer has noticed the stop; a later one must be
-    /// finished before the stop is.
+    /// Every request is accepted until the balancer has noticed the stop; a later one must end
+    /// before the daemon terminates.
     pub(crate) fn can_accept(&self, now_ms: u64, allowed_ms: u64) -> bool {
         let since_ms = self.since_ms();
         let has_balancer_noticed = since_ms > 0 && now_ms > since_ms + BALANCER_NOTICE_MS;
--- a/crates/trestle-entry/src/store/client.rs
+++ b/crates/trestle-entry/src/store/client.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Records whether the store answered a call, and wakes waiting callers when it answers again.
+    /// Records whether the store answered a call, and wakes the tasks that wait in
+    /// [`Self::reserve_try`] when it answers again.
     fn record_result(&self, has_answered: bool) {
         let is_back = self.outage(|outage, now_ms| match has_answered {
             true => outage.answered(),
@@ -138,7 +139,8 @@
         };
         match outcome {
             WriteOutcome::Refused => self.record_result(false),
-            // The caller reads the row back at once, and that read shows whether the store answers.
+            // The task that made the write reads the row back at once, and that read shows whether
+            // the store answers.
             WriteOutcome::Unknown => {}
             WriteOutcome::Written(_) | WriteOutcome::Conflict(_) => self.record_result(true),
         }
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -15,9 +15,9 @@
     store::{Row, RowChange, RowPage},
 };
 
-/// A leader's pause after each answer, per 100 listed endpoints and at least, so that one answer
-/// holds several changes: the more endpoints there are, the more often one changes. It is far below
-/// the time after which a draining endpoint must get no more work.
+/// A leader's pause after each answer, per 100 listed endpoints, and its shortest pause. The pause
+/// lets one answer hold several changes: the more endpoints there are, the more often one changes.
+/// It is far below the time after which a draining endpoint must get no more work.
 const LEADER_PAUSE_MS: u64 = 120;
 /// Longest pause of a leader after an answer.
 const MAX_LEADER_PAUSE_MS: u64 = 400;
@@ -131,7 +131,7 @@
         let (endpoint, version) = (&entry.endpoint, entry.version);
         let (name, number) = (endpoint.name.clone(), endpoint.entry_number);
         // A whole list may hold hundreds of endpoints, and every daemon reads it. One log line
-        // covers it, except for endpoints that drain.
+        // covers it, except for endpoints that are draining.
         if !is_whole || endpoint.is_draining {
             log_change(local_view.directory.get(&name), endpoint, version);
         }
@@ -166,10 +166,10 @@
     let count = written.len();
     let is_new = |entry: &&ListedEntry| local_view.directory.get(&entry.endpoint.name).is_none();
     let new = written.iter().filter(is_new).take(MAX_LOGGED_NAMES);
-    let came: Vec<&str> = new.map(|entry| entry.key.as_str()).collect();
-    let gone: Vec<&str> =
+    let added: Vec<&str> = new.map(|entry| entry.key.as_str()).collect();
+    let removed: Vec<&str> =
         removed.iter().take(MAX_LOGGED_NAMES).map(|(key, _)| key.as_str()).collect();
-    tracing::info!(count, version, ?came, ?gone, "endpoint: The list was read.");
+    tracing::info!(count, version, came = ?added, gone = ?removed, "endpoint: The list was read.");
 }
 
 /// Converts the rows of a whole list. Rows that cannot be read are left out.
@@ -221,18 +221,24 @@
     }
 }
 
-/// Logs what a new entry changes: that its endpoint is listed, drains, has started again, or holds
-/// other models.
+/// Logs what a new entry changes: that its endpoint is listed, is draining, has started again, or
+/// holds other models.
 fn log_change(known: Option<&Endpoint>, new: &Endpoint, version: u64) {
     let was_draining = known.map(|known| known.is_draining);
-    let (endpoint, born_ms) = (&new.name, new.started_unix_ms);
+    let (endpoint, started_unix_ms) = (&new.name, new.started_unix_ms);
     if was_draining != Some(new.is_draining) {
-        let (address, leaving) = (new.address, new.is_draining);
-        tracing::info!(%endpoint, born_ms, %address, leaving, version, "endpoint: Listed.");
+        let (address, is_draining) = (new.address, new.is_draining);
+        tracing::info!(
+            %endpoint, born_ms = started_unix_ms, %address, leaving = is_draining, version,
+            "endpoint: Listed."
+        );
     }
-    if let Some(before) = known.filter(|known| known.started_unix_ms != born_ms) {
+    if let Some(before) = known.filter(|known| known.started_unix_ms != started_unix_ms) {
         let before_ms = before.started_unix_ms;
-        tracing::info!(%endpoint, born_ms, before_ms, version, "endpoint: It has started again.");
+        tracing::info!(
+            %endpoint, born_ms = started_unix_ms, before_ms, version,
+            "endpoint: It has started again."
+        );
     }
     if known.is_some_and(|known| known.held.keys().ne(new.held.keys())) {
         let held: Vec<&str> = new.held.keys().map(AsRef::as_ref).collect();
--- a/crates/trestle-entry/src/store/follow.rs
+++ b/crates/trestle-entry/src/store/follow.rs
@@ -55,8 +55,8 @@
             leadership_began.or(pause(relay_valid_ms)).await;
             continue;
         }
-        // During an outage the daemon's other callers wait for the result of this try, so the store
-        // must answer at once.
+        // During an outage the daemon's other tasks wait for the result of this try before they
+        // call the store, so the store must answer at once.
         let wait_ms = if is_failing { 0 } else { daemon.freshness.wait_ms() };
         let after = (followed.after)(last);
         let step = async { Some(read_or_wait(daemon, &followed, &follower, after, wait_ms).await) };
--- a/crates/trestle-entry/src/traffic/attempt.rs
+++ b/crates/trestle-entry/src/traffic/attempt.rs
@@ -154,7 +154,8 @@
 ) {
     let incarnation = endpoint.incarnation();
     match (status, &task.head.model) {
-        // The endpoint may have been replaced or may only lack the model, so this shows neither.
+        // The endpoint may have been replaced, or may run and only lack the model; the status does
+        // not tell which.
         (StatusCode::MISDIRECTED_REQUEST, Some(_)) => {}
         (StatusCode::MISDIRECTED_REQUEST, None) => {
             connection_loss::record_terminated(&task.daemon, &incarnation, Evidence::Replaced);
--- a/crates/trestle-entry/src/traffic/held_permit.rs
+++ b/crates/trestle-entry/src/traffic/held_permit.rs
@@ -20,12 +20,13 @@
 }
 
 impl HeldPermit {
-    /// Sets the permit to send to this start of an endpoint until `until_ms`.
+    /// Sets the permit to send to this incarnation of an endpoint until `until_ms`.
     pub(crate) fn set(&self, incarnation: Incarnation, until_ms: u64) {
         *self.permit() = Some(Permit { incarnation, until_ms });
     }
 
-    /// Returns the start of an endpoint that the request may be sent to now.
+    /// Returns the incarnation of an endpoint that the request may be sent to now; `None` if the
+    /// request holds no valid permit.
     pub(crate) fn incarnation(&self, now_ms: u64) -> Option<Incarnation> {
         let permit = self.permit();
         permit
@@ -34,7 +35,7 @@
             .map(|permit| permit.incarnation.clone())
     }
 
-    /// Returns whether the permit still allows sending to this start of an endpoint.
+    /// Returns whether the permit still allows sending to this incarnation of an endpoint.
     pub(crate) fn allows_send(&self, incarnation: &Incarnation, now_ms: u64) -> bool {
         let permit = self.permit();
         permit.as_ref().is_some_and(|permit| {
--- a/crates/trestle-entry/src/traffic/plain.rs
+++ b/crates/trestle-entry/src/traffic/plain.rs
@@ -73,7 +73,7 @@
 ) -> Result<CompleteAnswer, AttemptError> {
     task.daemon.metrics.record_send(sends.count == 0);
     sends.record_send(&selected.endpoint.name);
-    // While another send is possible, one that misses the route's objective is given up for it.
+    // A send that misses the route's objective is given up if another send is possible.
     let wait_limit = WaitLimit { task, sends, limit_ms: wait_limit::answer_ms(&task.route) };
     let attempt = attempt::send(task, selected, None, wait_limit).await?;
     attempt.read_complete(task, task.remaining_ms()).await
--- a/crates/trestle-entry/src/traffic/quota_reservation.rs
+++ b/crates/trestle-entry/src/traffic/quota_reservation.rs
@@ -12,8 +12,9 @@
 use trestle_core::names::TeamName;
 use trestle_dispatch::team::TeamLimit;
 
-/// Divisor of a route's objective: for this part of it a request waits until its team's limit
-/// allows it. A team that stays within its limit on average lacks units for moments only.
+/// Divisor of a route's objective: a request waits at most for this part of the objective until its
+/// team's limit allows it. A team that stays within its limit on average lacks units for moments
+/// only.
 const WAIT_DIVISOR: u64 = 8;
 /// Time after the end of a reservation within which the request may still be sent: opening a
 /// connection takes time.
@@ -165,7 +166,7 @@
     task.route.objective_ms / WAIT_DIVISOR
 }
 
-/// Returns the units that a request reserved and did not use.
+/// Makes the units that a request reserved and did not use available to other requests again.
 pub(crate) fn release(task: &Task) {
     let Some(Cost { team, units, .. }) = cost(task) else { return };
     let state = *task.quota_reservation.state();
--- a/crates/trestle-entry/src/traffic/select.rs
+++ b/crates/trestle-entry/src/traffic/select.rs
@@ -22,7 +22,7 @@
 };
 
 /// Longest interval between two selections while a request waits. No event announces that the
-/// daemon was told to stop, or that an endpoint excluded for a time may be tried again.
+/// daemon has begun to stop, or that an endpoint excluded for a time may be tried again.
 const POLL_INTERVAL_MS: u64 = 250;
 
 /// An endpoint that was selected for one send. The request counts as running there until this guard
@@ -145,13 +145,13 @@
 
 /// Decides once, with what is known now, what happens to a request.
 fn decide(task: &Task, sends: &Sends, demand_id: Option<u64>) -> Selection {
-    let lot = fastrand::u64(..);
+    let random = fastrand::u64(..);
     let now_ms = task.daemon.shared_view.now_ms();
     let send_permit = task.held_permit.incarnation(now_ms);
     task.daemon.shared_view.with(|local_view| {
         let context =
             RequestContext { demand_id, send_permit: send_permit.as_ref(), ..task.context() };
-        let selection = selection::select(local_view, context, sends, lot, now_ms);
+        let selection = selection::select(local_view, context, sends, random, now_ms);
         if let Selection::Throttled(throttled) = &selection {
             task.record_throttle(local_view, &throttled.incarnation, now_ms);
         }
@@ -175,7 +175,8 @@
     task.daemon.shared_view.with(has_alternative)
 }
 
-/// Reports the demand of a caller who was told to retry, so that the model is not evicted before.
+/// Reports the demand of a caller who was asked to retry, so that the model is not evicted before
+/// the retry.
 fn record_returning(task: &Task, retry_after_ms: u64) {
     let daemon = &task.daemon;
     let now_ms = daemon.shared_view.now_ms();
--- a/crates/trestle-entry/src/traffic/task.rs
+++ b/crates/trestle-entry/src/traffic/task.rs
@@ -79,9 +79,9 @@
     pub(crate) limit_per_s: Option<f64>,
     /// Time until the backoff ends; `None` if a limit was the reason.
     pub(crate) backoff_left_ms: Option<u64>,
-    /// Time since the endpoint last reported it.
+    /// Time since the endpoint last reported the limit or backoff.
     pub(crate) observed_ago_ms: u64,
-    /// Id of the request whose answer reported it.
+    /// Id of the request whose answer reported the limit or backoff.
     pub(crate) observed_in: String,
 }
 
@@ -179,10 +179,11 @@
     /// suspicion that it crashes endpoints.
     pub(crate) fn record_served(&self, endpoint: &Endpoint) {
         let clear_suspicion = |local_view: &mut LocalView| local_view.served(self.head.fingerprint);
-        if let Some(ends) = self.daemon.shared_view.with(clear_suspicion) {
+        if let Some(crashes) = self.daemon.shared_view.with(clear_suspicion) {
             tracing::warn!(
-                id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name, ends,
-                "request: Got a complete answer; it is no longer suspected of crashing endpoints."
+                id = self.head.id, request = self.fingerprint(), endpoint = %endpoint.name,
+                ends = crashes,
+                "request: Got a complete answer; the request is no longer suspected of crashing endpoints."
             );
         }
     }
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -17,8 +17,8 @@
     trials::{WireTrial, WireTrialAnswer},
 };
 
-/// Retry time given to callers while no leader can be reached: about the time until there is a new
-/// leader.
+/// Retry-after time for callers while no leader can be reached: about the time until there is a
+/// new leader.
 const NO_LEADER_MS: u64 = 1_000;
 
 /// The permission of one request to run although endpoints may have crashed under it.
@@ -56,12 +56,12 @@
     ) -> Result<(), u64> {
         let number = daemon.next_number();
         let answer = ask_leader(daemon, wire_trial(daemon, request, number, false)).await;
-        let is_known =
+        let must_run_serially =
             daemon.shared_view.with(|local_view| local_view.crashes.must_run_serially(request));
-        tracing::info!(%request, answer = ?answer, is_known, "request: The request may crash endpoints; a leader was asked for permission.");
+        tracing::info!(%request, answer = ?answer, is_known = must_run_serially, "request: The request may crash endpoints; a leader was asked for permission.");
         match answer {
-            // A request that is only suspected is not rejected because no leader answers.
-            WireTrialAnswer::Undecided if is_known => Err(NO_LEADER_MS),
+            // If no leader answers, a request that is only suspected of crashing endpoints may run.
+            WireTrialAnswer::Undecided if must_run_serially => Err(NO_LEADER_MS),
             WireTrialAnswer::Runs | WireTrialAnswer::Undecided => {
                 let attempt =
                     PermittedAttempt { daemon: Arc::clone(daemon), request, number, at: None };
