--- a/crates/trestle-entry/src/send_permits.rs
+++ b/crates/trestle-entry/src/send_permits.rs
@@ -51,7 +51,7 @@
         false
     };
     if daemon.shared_view.with(change) {
-        tracing::info!(endpoint = %incarnation.name, "endpoint: The endpoint no longer reports a limit.");
+        tracing::info!(endpoint = %incarnation.name, "endpoint: The endpoint names no limit any more.");
     }
     (permit == WireSendPermit::Lent).then_some(requested_ms + PERMIT_VALID_MS)
 }
--- a/crates/trestle-entry/src/signals.rs
+++ b/crates/trestle-entry/src/signals.rs
@@ -52,18 +52,18 @@
     match change {
         SignalChange::Limit { per_ks } => {
             let limit_per_s = *per_ks as f64 / 1e3;
-            tracing::info!(%endpoint, born_ms = started_unix_ms, limit_per_s, heard_in = id, "endpoint: The endpoint reports a limit.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, limit_per_s, heard_in = id, "endpoint: The endpoint names a limit.");
         }
         SignalChange::Draining => {
-            tracing::info!(%endpoint, born_ms = started_unix_ms, heard_in = id, "endpoint: The endpoint reports that it is draining.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, heard_in = id, "endpoint: The endpoint says that it leaves.");
         }
         SignalChange::Backoff { for_ms } => {
-            tracing::info!(%endpoint, born_ms = started_unix_ms, for_ms, heard_in = id, "endpoint: The endpoint requests a backoff.");
+            tracing::info!(%endpoint, born_ms = started_unix_ms, for_ms, heard_in = id, "endpoint: The endpoint asks for rest: it wants no requests of this daemon for a time.");
         }
         SignalChange::Unreadable { what, text } => {
             tracing::warn!(
                 %endpoint, born_ms = started_unix_ms, what, text, heard_in = id,
-                "endpoint: A signal in an answer cannot be parsed; it is ignored."
+                "endpoint: A signal in an answer cannot be read; it is ignored."
             );
         }
     }
--- a/crates/trestle-entry/src/store/endpoints.rs
+++ b/crates/trestle-entry/src/store/endpoints.rs
@@ -142,7 +142,7 @@
             added.extend(new);
         } else {
             let message =
-                "endpoint: Ignored an entry that is older than the removal of its endpoint.";
+                "endpoint: Ignored an entry that was written before its removal from the list.";
             tracing::info!(endpoint = %name, number, version, "{message}");
         }
     }
