--- a/crates/trestle-client/src/peers.rs
+++ b/crates/trestle-client/src/peers.rs
@@ -117,8 +117,8 @@
     }
 
     async fn client(&self, address: &str) -> Result<PeerClient> {
-        let known = self.lock().get(address).cloned();
-        match known {
+        let existing = self.lock().get(address).cloned();
+        match existing {
             Some(Connection::Open(client)) => return Ok(client),
             Some(Connection::Failed { until }) if Instant::now() < until => {
                 let source = std::io::ErrorKind::NotConnected.into();
--- a/crates/trestle-config/src/config.rs
+++ b/crates/trestle-config/src/config.rs
@@ -40,7 +40,7 @@
 pub struct Class {
     /// Urgency of the class; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer is due if a request names no deadline, in milliseconds.
+    /// Time until the complete answer is due if a request names no deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
--- a/crates/trestle-config/src/error.rs
+++ b/crates/trestle-config/src/error.rs
@@ -33,9 +33,9 @@
 /// One problem of a file, and how to solve it.
 #[trestle_macros::plain]
 pub struct Problem {
-    /// Line, counted from 1; 0 if the problem has no place in the file.
+    /// Line, counted from 1; 0 if the problem has no position in the file.
     pub line: usize,
-    /// Column, counted from 1; 0 if the problem has no place in the file.
+    /// Column, counted from 1; 0 if the problem has no position in the file.
     pub column: usize,
     /// Description of the problem and of its solution.
     pub message: String,
--- a/crates/trestle-config/src/file.rs
+++ b/crates/trestle-config/src/file.rs
@@ -44,7 +44,7 @@
 pub struct ClassEntry {
     /// Urgency of the class; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer is due if a request names no deadline, in milliseconds.
+    /// Time until the complete answer is due if a request names no deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
--- a/crates/trestle-config/src/locate.rs
+++ b/crates/trestle-config/src/locate.rs
@@ -11,7 +11,7 @@
 
 /// Creates a problem with the line and column of the key that a path of keys leads to.
 ///
-/// If the path does not exist in the text, the place of its last existing key is used.
+/// If the path does not exist in the text, the position of its last existing key is used.
 pub(crate) fn problem_at(text: &str, path: &[&str], message: String) -> Problem {
     let offset = offset_of(text, path).unwrap_or(0);
     let (line, column) = line_and_column(text, offset);
--- a/crates/trestle-config/src/read.rs
+++ b/crates/trestle-config/src/read.rs
@@ -74,7 +74,7 @@
     Ok(SettingsFile::Platform(settings))
 }
 
-/// Returns an error with the place of each finding, or `Ok` if there is none.
+/// Returns an error with the position of each finding, or `Ok` if there is none.
 fn reject_findings(
     text: &str,
     file: &str,
--- a/crates/trestle-config/src/settings.rs
+++ b/crates/trestle-config/src/settings.rs
@@ -2,8 +2,8 @@
 
 use std::{net::SocketAddr, num::NonZeroU32};
 
-/// Default limit of log lines per second. These are some 200 kB, and ten times what a daemon writes
-/// at the planned load of 16 requests per second.
+/// Default limit of log lines per second. 500 lines are some 200 kB, and ten times what a daemon
+/// writes per second at the planned load of 16 requests per second.
 const DEFAULT_LINES_PER_S: NonZeroU32 = NonZeroU32::new(500).expect("it is above 0");
 
 /// Settings of a daemon whose state is on the platform.
--- a/crates/trestle-wire/src/headers.rs
+++ b/crates/trestle-wire/src/headers.rs
@@ -1,6 +1,6 @@
 //! HTTP headers towards callers and endpoints.
 
-/// Time until the whole answer is due, in milliseconds; sent by callers.
+/// Time until the complete answer is due, in milliseconds; sent by callers.
 pub const DEADLINE_MS: &str = "trestle-deadline-ms";
 /// Class of the request; sent by callers.
 pub const CLASS: &str = "trestle-class";
--- a/crates/trestle-wire/src/peer.rs
+++ b/crates/trestle-wire/src/peer.rs
@@ -43,7 +43,7 @@
     pub tenant: String,
     /// Urgency of the class of the caller's request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time until the whole answer to the caller is due, in milliseconds.
+    /// Time until the complete answer to the caller is due, in milliseconds.
     pub due_in_ms: u64,
     /// Number of ranks, from the start of the endpoint's chain, that do not serve the entry daemon.
     pub ranks_lost: u8,
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -303,10 +303,10 @@
             WireName::Name(name) => Some(name.into()),
         };
         let counted = |models: Vec<(WireName, u32)>| {
-            let known = models
+            let counts = models
                 .into_iter()
                 .filter_map(|(model, count)| Some((ModelName::from(named(model)?), count)));
-            known.collect::<BTreeMap<_, _>>()
+            counts.collect::<BTreeMap<_, _>>()
         };
         let running = self.running.into_iter().filter_map(|(endpoint, models)| {
             Some((EndpointName::from(named(endpoint)?), counted(models)))
