--- a/crates/trestle-standin/src/control.rs
+++ b/crates/trestle-standin/src/control.rs
@@ -21,11 +21,9 @@
                 simulation.lock().faults = faults;
                 json_response(conn, Status::Ok, &json!({}))
             }
-            None => json_response(
-                conn,
-                Status::BadRequest,
-                &json!({"error": "the request body is not a JSON object of known faults"}),
-            ),
+            None => {
+                json_response(conn, Status::BadRequest, &json!({"error": "not a set of faults"}))
+            }
         },
         (Method::Post, "/vms") => {
             match read_json::<BTreeMap<String, Option<WireVmState>>>(&mut conn).await {
@@ -33,11 +31,9 @@
                     update_vms(&simulation, &changes);
                     json_response(conn, Status::Ok, &json!({}))
                 }
-                None => json_response(
-                    conn,
-                    Status::BadRequest,
-                    &json!({"error": "the request body is not a JSON object from VM names to states"}),
-                ),
+                None => {
+                    json_response(conn, Status::BadRequest, &json!({"error": "not states of VMs"}))
+                }
             }
         }
         _ => conn.with_status(Status::NotFound).halt(),
--- a/crates/trestle-standin/src/engine.rs
+++ b/crates/trestle-standin/src/engine.rs
@@ -39,8 +39,10 @@
         self.spec.slots
     }
 
-    /// Executes an order; rejects it if this engine checks fences and the fence is outdated, or
-    /// if the model exceeds the free memory.
+    /// Executes an order.
+    ///
+    /// Rejects the order if this engine checks fences and the order's fence is lower than that of
+    /// an earlier order, or if the model needs more memory than is free.
     pub(crate) fn execute_order(&mut self, order: WireOrder) -> OrderOutcome {
         if self.spec.fencing == Fencing::Checked {
             if order.fence < self.fence {
@@ -70,7 +72,7 @@
         }
         let used_bytes: u64 = self.models.values().map(|state| state.memory_bytes).sum();
         if used_bytes + memory_bytes > self.spec.memory_bytes {
-            let message = format!("loading {model} exceeds the memory of the engine");
+            let message = format!("loading {model} needs more memory than there is");
             let answer =
                 WireOrderAnswer::Impossible { report: self.report(), message: message.clone() };
             return OrderOutcome { answer, started_change: None, breach: Some(message) };
@@ -87,7 +89,7 @@
         }
         let running = state.running;
         state.phase = WirePhase::Unloading;
-        let breach = (running > 0).then(|| format!("unloading {model} aborted {running} requests"));
+        let breach = (running > 0).then(|| format!("unloading {model} cut {running} requests"));
         self.accepted(Some(StartedChange::Unload(model)), breach)
     }
 
--- a/crates/trestle-standin/src/simulation.rs
+++ b/crates/trestle-standin/src/simulation.rs
@@ -116,7 +116,7 @@
     pub(crate) fn check_draining(&mut self, endpoint: &EndpointName, what: &str, now_ms: u64) {
         let since_ms = self.draining_since_ms.get(endpoint.as_str());
         if since_ms.is_some_and(|since_ms| now_ms > since_ms + DRAINING_GRACE_MS) {
-            self.record_breach(format!("new {what} at draining endpoint {endpoint}"));
+            self.record_breach(format!("{what} at leaving endpoint {endpoint}"));
         }
     }
 
@@ -128,7 +128,7 @@
         *max_seen = replicas.max(*max_seen);
         if replicas > max_replicas {
             self.record_breach(format!(
-                "model {model} has {replicas} replicas; at most {max_replicas} are configured"
+                "model {model} has {replicas} replicas, {max_replicas} decided"
             ));
         }
     }
--- a/crates/trestlectl/src/error.rs
+++ b/crates/trestlectl/src/error.rs
@@ -46,6 +46,6 @@
     NoRequest { id: String, files: usize },
     #[snafu(display("{} cannot be written: {source}", path.display()))]
     Write { path: PathBuf, source: std::io::Error },
-    #[snafu(display("the stored configuration is not valid UTF-8; apply the file again"))]
+    #[snafu(display("the stored configuration is not valid UTF-8"))]
     NotText,
 }
