--- a/crates/trestle-load/src/check.rs
+++ b/crates/trestle-load/src/check.rs
@@ -48,7 +48,7 @@
         Some("not_run") => error_code(answer).map_or_else(Verdict::Violation, Verdict::NotRun),
         Some("unknown") => error_code(answer).map_or_else(Verdict::Violation, Verdict::Unknown),
         _ => Verdict::Violation(format!(
-            "the answer with status {} has no valid outcome header",
+            "the outcome header of the answer with status {} is missing or does not fit the status",
             answer.status
         )),
     }
--- a/crates/trestle-load/src/plan.rs
+++ b/crates/trestle-load/src/plan.rs
@@ -18,7 +18,7 @@
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Stream {
-    /// Name of the caller's tenant; used for the report alone.
+    /// Name of the caller's tenant; used only in the report.
     pub(crate) tenant: String,
     /// Token that authorizes the requests.
     pub(crate) token: String,
--- a/crates/trestle-session/src/bench.rs
+++ b/crates/trestle-session/src/bench.rs
@@ -41,8 +41,8 @@
     })
 }
 
-fn latency_us(report: &Value, what: &str) -> u64 {
-    report["groups"][0]["done_us"][what].as_u64().unwrap_or(0)
+fn latency_us(report: &Value, quantile: &str) -> u64 {
+    report["groups"][0]["done_us"][quantile].as_u64().unwrap_or(0)
 }
 
 fn done_count(report: &Value, class: &str) -> u64 {
@@ -93,7 +93,7 @@
 
 /// Requests per second that the engine of the steady model serves: 8 slots, 100 ms a request.
 const CAPACITY: usize = 80;
-/// The urgent class requests one part in this many of the capacity.
+/// Factor by which the request rate of the urgent class is lower than the capacity.
 const URGENT_DIVISOR: usize = 8;
 
 /// Results of a run at capacity and of an overload run, which has ten times the requests of the
--- a/crates/trestle-session/src/session.rs
+++ b/crates/trestle-session/src/session.rs
@@ -107,7 +107,7 @@
 
     /// Returns the address at which the daemon with an index reaches the platform.
     ///
-    /// Each daemon has its own, so that a fault can cut off one daemon alone.
+    /// Each daemon uses an address of its own, so that a fault can cut off one daemon alone.
     pub fn platform_address_of(&self, index: usize) -> String {
         platform_address(&self.ip, index + 1)
     }
@@ -116,7 +116,7 @@
     ///
     /// # Panics
     ///
-    /// If the session has no such VM.
+    /// Panics if the session has no daemon on the VM.
     pub fn daemon(&mut self, vm: &str) -> &mut DaemonProcess {
         self.daemons.get_mut(vm).expect("the session has a daemon on the VM")
     }
@@ -313,7 +313,7 @@
         self.control("vms", Some(changes)).map(drop)
     }
 
-    /// Waits until a condition of the session holds.
+    /// Waits until a condition of the session holds; `what` describes it in the error.
     ///
     /// # Errors
     ///
@@ -325,16 +325,16 @@
     /// Returns each endpoint where a model is placed, with the VM of its owner, as the daemons
     /// report them.
     pub fn owners_of(&self, model: &str) -> Vec<(String, String)> {
-        let mut found = Vec::new();
+        let mut owners = Vec::new();
         for vm in self.daemons.keys() {
             let Ok(status) = self.status(vm) else { continue };
             for (endpoint, state) in &status.endpoints {
                 if state.role == "owner" && state.placed.contains_key(model) {
-                    found.push((endpoint.clone(), vm.clone()));
+                    owners.push((endpoint.clone(), vm.clone()));
                 }
             }
         }
-        found
+        owners
     }
 
     /// Returns the address, as `ip:port`, of an engine where a model is placed; empty if there is
--- a/crates/trestle-session/tests/input.rs
+++ b/crates/trestle-session/tests/input.rs
@@ -150,12 +150,12 @@
 const LARGE_BODY_BYTES: usize = 1 << 20;
 /// Size by which the held bytes grow at a time, until nothing more fits.
 const TOP_UP_BYTES: usize = 16 << 10;
-/// Size of the request that is rejected in the end. A rejected body releases the bytes that were
-/// held of it, so large bodies that are read in parallel leave room in the end; the top-ups leave
-/// less room than this.
+/// Size of the request that is rejected in the end. A body that is rejected midway releases the
+/// bytes that the daemon held of it, so large bodies that are read in parallel leave room; the
+/// top-ups fill that room until less than this size is left.
 const PROBE_BYTES: usize = 32 << 10;
-/// Number of top-ups after which the daemon must have rejected a request: more than four large
-/// bodies.
+/// Number of top-ups within which the daemon must reject a request; together they hold more than
+/// four large bodies.
 const MAX_TOP_UPS: usize = 256;
 
 /// Beyond a limit, the daemon rejects concurrent large bodies, so that its memory stays bounded.
--- a/crates/trestle-session/tests/ownership.rs
+++ b/crates/trestle-session/tests/ownership.rs
@@ -65,8 +65,8 @@
     }
     session.daemon(&owner).resume();
     thread::sleep(Duration::from_secs(4));
-    let again = request_completion(&session, entry, &model);
-    assert_eq!(again.status, 200, "{}", again.body);
+    let second = request_completion(&session, entry, &model);
+    assert_eq!(second.status, 200, "{}", second.body);
     assert_no_breach(&session);
 }
 
--- a/crates/trestle-standin/src/engine_http.rs
+++ b/crates/trestle-standin/src/engine_http.rs
@@ -33,7 +33,7 @@
         sleep_ms(FROZEN_POLL_MS).await;
     }
     match (conn.method(), conn.path()) {
-        (Method::Post, "/orders") => order(simulation, name, conn).await,
+        (Method::Post, "/orders") => handle_order(simulation, name, conn).await,
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
             handle_completion(simulation, name, conn).await
         }
@@ -45,7 +45,7 @@
     simulation.lock().faults.engines.get(name.as_str()).cloned().unwrap_or_default()
 }
 
-async fn order(simulation: Arc<Simulation>, name: EndpointName, mut conn: Conn) -> Conn {
+async fn handle_order(simulation: Arc<Simulation>, name: EndpointName, mut conn: Conn) -> Conn {
     let Some(order) = read_json::<WireOrder>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
@@ -59,7 +59,7 @@
 
 fn execute_order(simulation: &Simulation, name: &EndpointName, order: WireOrder) -> OrderOutcome {
     let now_ms = simulation.now_ms();
-    let loaded = match &order.kind {
+    let model_to_load = match &order.kind {
         WireOrderKind::Load { model, .. } => Some(ModelName::from(model.as_str())),
         _ => None,
     };
@@ -73,7 +73,7 @@
     if let Some(breach) = &outcome.breach {
         state.record_breach(format!("{name}: {breach}"));
     }
-    if let (Some(model), Some(StartedChange::Load(_))) = (loaded, &outcome.started_change) {
+    if let (Some(model), Some(StartedChange::Load(_))) = (model_to_load, &outcome.started_change) {
         state.check_draining(name, "load", now_ms);
         *state.counts.loads.entry(model.to_string()).or_default() += 1;
         state.counts.load_order.push(model.to_string());
@@ -187,6 +187,8 @@
     conn.with_response_header("content-type", "application/json").ok(answer)
 }
 
+/// Uses up one of each fault of the engine's answers; returns whether this answer is truncated,
+/// carries another request's id and text, and is a server error.
 fn consume_faults(simulation: &Simulation, name: &EndpointName) -> (bool, bool, bool) {
     let mut state = simulation.lock();
     let Some(faults) = state.faults.engines.get_mut(name.as_str()) else {
--- a/crates/trestle-standin/src/platform_http.rs
+++ b/crates/trestle-standin/src/platform_http.rs
@@ -38,7 +38,7 @@
 }
 
 async fn read_rows(simulation: &Simulation, mut conn: Conn) -> Conn {
-    let Some(request) = read_json::<ReadRequest>(&mut conn).await else { return bad(conn) };
+    let Some(request) = read_json::<ReadRequest>(&mut conn).await else { return reject(conn) };
     let mut state = simulation.lock();
     state.counts.table_reads += 1;
     let response = state.platform.read(&request);
@@ -47,7 +47,7 @@
 }
 
 async fn commit_rows(simulation: &Simulation, mut conn: Conn) -> Conn {
-    let Some(request) = read_json::<CommitRequest>(&mut conn).await else { return bad(conn) };
+    let Some(request) = read_json::<CommitRequest>(&mut conn).await else { return reject(conn) };
     let mut state = simulation.lock();
     if state.faults.platform.writes_down {
         return conn.with_status(Status::ServiceUnavailable).halt();
@@ -70,12 +70,12 @@
 }
 
 async fn put_object(simulation: &Simulation, name: &str, mut conn: Conn) -> Conn {
-    let Ok(content) = conn.request_body().await.read_bytes().await else { return bad(conn) };
+    let Ok(content) = conn.request_body().await.read_bytes().await else { return reject(conn) };
     simulation.lock().platform.put_object(name, content);
     conn.ok("")
 }
 
 /// Answers with status 400.
-fn bad(conn: Conn) -> Conn {
+fn reject(conn: Conn) -> Conn {
     conn.with_status(Status::BadRequest).halt()
 }
--- a/crates/trestlectl/src/apply.rs
+++ b/crates/trestlectl/src/apply.rs
@@ -20,9 +20,9 @@
     CONFIG_HEAD_KEY, CommitRequest, ConfigHead, config_history_key, config_object,
 };
 
-/// Attempts to read back the result of an apply whose answer was lost.
+/// Number of attempts to read back the result of an apply whose answer was lost.
 const READ_BACK_ATTEMPTS: u32 = 10;
-/// Delay between these attempts.
+/// Delay between attempts to read back the result of an apply.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The configuration head and the version of its row; a row version of 0 means no row.
@@ -113,18 +113,18 @@
     request
 }
 
-/// Reads back whether an apply succeeded whose answer was lost.
-async fn read_back(platform: &Platform, ours: &ConfigHead) -> Result<()> {
+/// Reads back whether an apply succeeded after its answer was lost.
+async fn read_back(platform: &Platform, own_head: &ConfigHead) -> Result<()> {
     for _ in 0..READ_BACK_ATTEMPTS {
-        let history = history_head(platform, ours.version).await;
+        let history = history_head(platform, own_head.version).await;
         match history {
-            Ok(Some(head)) if head.apply_id == ours.apply_id => return Ok(()),
-            Ok(Some(_)) => return Err(conflict_error(platform, ours).await),
+            Ok(Some(head)) if head.apply_id == own_head.apply_id => return Ok(()),
+            Ok(Some(_)) => return Err(conflict_error(platform, own_head).await),
             Ok(None) | Err(_) => {}
         }
         Timer::after(READ_BACK_INTERVAL).await;
     }
-    UnknownOutcomeSnafu { apply_id: &ours.apply_id }.fail()
+    UnknownOutcomeSnafu { apply_id: &own_head.apply_id }.fail()
 }
 
 /// Reads the head of one version from the history; returns `None` if there was no such version.
@@ -138,9 +138,9 @@
     Ok(value.and_then(|value| serde_json::from_value(value).ok()))
 }
 
-async fn conflict_error(platform: &Platform, ours: &ConfigHead) -> crate::error::Error {
+async fn conflict_error(platform: &Platform, own_head: &ConfigHead) -> crate::error::Error {
     let found = read_head(platform).await.ok().and_then(|read| read.head);
     let author = found.as_ref().map_or("another operator", |head| head.author.as_str());
-    let version = found.as_ref().map_or(ours.version, |head| head.version);
-    ConflictSnafu { expected: ours.version - 1, found: version, author }.build()
+    let version = found.as_ref().map_or(own_head.version, |head| head.version);
+    ConflictSnafu { expected: own_head.version - 1, found: version, author }.build()
 }
--- a/crates/trestlectl/src/explain.rs
+++ b/crates/trestlectl/src/explain.rs
@@ -2,7 +2,8 @@
 
 use crate::{error::Result, output, status};
 
-/// Prints, for each owner that has a model placed, its placement, state and owner.
+/// Prints each placement of a model as its owner reports it: the endpoint, the state of the model
+/// there, and the owner.
 pub(crate) async fn print(model: &str, daemons: &[String], token: Option<&str>) -> Result<()> {
     let mut is_known = false;
     for daemon in status::fetch_all(daemons, token).await? {
--- a/crates/trestlectl/src/log_line.rs
+++ b/crates/trestlectl/src/log_line.rs
@@ -1,8 +1,8 @@
 //! Parses the logs of daemons.
 //!
-//! A line is a JSON object. The last word before the object, which log collectors
-//! insert, names the daemon. Lines that cannot be parsed are skipped, and their
-//! file and line number is recorded.
+//! A line is a JSON object. Log collectors may insert words before the object; the
+//! last of these words names the daemon. Lines that cannot be parsed are skipped, and
+//! their file and line number are recorded.
 
 use crate::error::{ReadSnafu, Result};
 use serde_json::{Map, Value};
--- a/crates/trestlectl/src/status.rs
+++ b/crates/trestlectl/src/status.rs
@@ -21,15 +21,15 @@
 
 /// Fetches the state of every daemon that answers; fails if none does.
 pub(crate) async fn fetch_all(daemons: &[String], token: Option<&str>) -> Result<Vec<Status>> {
-    let mut found = Vec::new();
+    let mut statuses = Vec::new();
     for address in daemons {
         match fetch(address, token).await {
-            Some(status) => found.push(status),
+            Some(status) => statuses.push(status),
             None => eprintln!("trestlectl: {address} did not answer, or rejected the token"),
         }
     }
-    ensure!(!found.is_empty(), NoDaemonSnafu);
-    Ok(found)
+    ensure!(!statuses.is_empty(), NoDaemonSnafu);
+    Ok(statuses)
 }
 
 async fn fetch(address: &str, token: Option<&str>) -> Option<Status> {
--- a/crates/trestlectl/src/trace.rs
+++ b/crates/trestlectl/src/trace.rs
@@ -25,24 +25,25 @@
 /// Prints the trace of a request; fails if no log line is about it.
 pub(crate) fn print(id: &str, paths: &[PathBuf]) -> Result<()> {
     let logs = log_line::read(paths)?;
-    let own_lines: Vec<&LogLine> =
+    let request_lines: Vec<&LogLine> =
         logs.lines.iter().filter(|line| line.text("id") == Some(id)).collect();
-    ensure!(!own_lines.is_empty(), NoRequestSnafu { id, files: paths.len() });
-    for line in &own_lines {
+    ensure!(!request_lines.is_empty(), NoRequestSnafu { id, files: paths.len() });
+    for line in &request_lines {
         output::line(&format!("{} {} {}", line.time(), line.source, line.message));
         output::line(&format!("    {}", line.details()));
     }
-    let mut daemons: Vec<&str> = own_lines.iter().map(|line| line.source.as_str()).collect();
+    let mut daemons: Vec<&str> = request_lines.iter().map(|line| line.source.as_str()).collect();
     daemons.dedup();
     for daemon in daemons {
-        print_local_view(&logs, daemon, own_lines[0]);
+        print_local_view(&logs, daemon, request_lines[0]);
     }
-    print_related(&logs, &own_lines);
+    print_related(&logs, &request_lines);
     print_unparsed(&logs);
     Ok(())
 }
 
-/// Prints the local view of a daemon at the time of a line, and how long it had been in place.
+/// Prints the local view of a daemon at the time of a request's first line, and when each part of
+/// the view had last changed.
 fn print_local_view(logs: &Logs, daemon: &str, first: &LogLine) {
     output::line(&format!("\n{daemon} believed:"));
     let arrived_ms = arrived_ms(first);
@@ -68,11 +69,12 @@
 
 /// Prints lines about the request's model and endpoint, from [`BEFORE_MS`] before its arrival to
 /// its end.
-fn print_related(logs: &Logs, own_lines: &[&LogLine]) {
-    let value = |name: &str| own_lines.iter().rev().find_map(|line| line.text(name));
+fn print_related(logs: &Logs, request_lines: &[&LogLine]) {
+    let value = |name: &str| request_lines.iter().rev().find_map(|line| line.text(name));
     let (model, endpoint) = (value("model"), value("endpoint"));
-    let from_ms = own_lines.first().map_or(0, |line| arrived_ms(line)).saturating_sub(BEFORE_MS);
-    let to_ms = own_lines.last().and_then(|line| line.day_ms()).unwrap_or(u64::MAX);
+    let from_ms =
+        request_lines.first().map_or(0, |line| arrived_ms(line)).saturating_sub(BEFORE_MS);
+    let to_ms = request_lines.last().and_then(|line| line.day_ms()).unwrap_or(u64::MAX);
     output::line("\nmeanwhile, about its model and endpoint:");
     let mut count = 0;
     for line in &logs.lines {
@@ -97,8 +99,8 @@
     }
 }
 
-/// Returns the arrival time of a request by the first line about it, in milliseconds since
-/// midnight.
+/// Returns when a request arrived, in milliseconds since midnight, as its first line shows: the
+/// time of the line minus the time that the request had taken by then.
 fn arrived_ms(line: &LogLine) -> u64 {
     let after_ms = line.number("took_ms").or(line.number("elapsed_ms")).unwrap_or(0);
     line.day_ms().unwrap_or(0).saturating_sub(after_ms)
