--- a/crates/trestle-core/src/load_limiter.rs
+++ b/crates/trestle-core/src/load_limiter.rs
@@ -65,13 +65,13 @@
             self.limit = (self.limit / 2).max(1);
         }
         let old_weight = WEIGHT_PARTS - NEW_WEIGHT;
-        let mixed = (self.percent * old_weight + percent * NEW_WEIGHT) / WEIGHT_PARTS;
-        self.percent = mixed.clamp(*PERCENT_RANGE.start(), *PERCENT_RANGE.end());
+        let average = (self.percent * old_weight + percent * NEW_WEIGHT) / WEIGHT_PARTS;
+        self.percent = average.clamp(*PERCENT_RANGE.start(), *PERCENT_RANGE.end());
     }
 
     /// Returns the forecast for a load that starts after others.
     ///
-    /// `ahead_ms` is the sum of the declared times of those others.
+    /// `ahead_ms` is the sum of the declared times of those other loads.
     pub fn forecast(&self, ahead_ms: u64) -> Forecast {
         let ahead_ms = ahead_ms * self.percent / 100 / self.limit as u64;
         Forecast { ahead_ms, percent: self.percent }
--- a/crates/trestle-core/src/membership.rs
+++ b/crates/trestle-core/src/membership.rs
@@ -229,9 +229,9 @@
     fn observe_lease(&mut self, vm: VmName, lease: LeaseRow, counted_ms: u64) {
         match self.observed.get_mut(&vm) {
             Some(observed) if observed.lease == lease => observed.unchanged_ms += counted_ms,
-            known => {
+            earlier => {
                 // The first lease row that is read replaces a default one, which is no renewal.
-                let has_renewed = known.is_some_and(|known| known.lease.renewals > 0);
+                let has_renewed = earlier.is_some_and(|earlier| earlier.lease.renewals > 0);
                 self.observed.insert(vm, Observed { lease, unchanged_ms: 0, has_renewed });
             }
         }
--- a/crates/trestle-core/src/owned_endpoint/admission.rs
+++ b/crates/trestle-core/src/owned_endpoint/admission.rs
@@ -116,7 +116,8 @@
             .collect()
     }
 
-    /// Takes back a permit; a ticket without a permit stands for one of an earlier owner.
+    /// Takes back the permit of a ticket; if this owner granted none, a permit of an earlier owner
+    /// counts as given back.
     pub fn release(&mut self, ticket: Ticket, now_ms: u64) {
         let Some(permit) = self.permits.remove(&ticket) else {
             self.inherited_running = self.inherited_running.saturating_sub(1);
--- a/crates/trestle-core/src/owned_endpoint/orders.rs
+++ b/crates/trestle-core/src/owned_endpoint/orders.rs
@@ -238,7 +238,7 @@
                 let took_ms = now_ms.saturating_sub(before.since_ms);
                 self.completed_loads.push((model.clone(), took_ms));
             }
-            let since_ms = before.filter(|h| h.phase == state.phase).map_or(now_ms, |h| h.since_ms);
+            let since_ms = before.filter(|b| b.phase == state.phase).map_or(now_ms, |b| b.since_ms);
             let ModelReport { phase, memory_bytes, running } = *state;
             resident
                 .insert(model.clone(), ResidentModel { phase, since_ms, memory_bytes, running });
--- a/crates/trestle-core/src/placing.rs
+++ b/crates/trestle-core/src/placing.rs
@@ -52,8 +52,8 @@
     let should_place = |name: &ModelName| {
         let ranked = catalog.candidates(name);
         let rank = ranked.iter().position(|candidate| candidate == snapshot.name);
-        let within = catalog.models[name].max_replicas.saturating_add(extra_candidates);
-        rank.is_some_and(|rank| rank < within) && !snapshot.row.placed.contains_key(name)
+        let rank_limit = catalog.models[name].max_replicas.saturating_add(extra_candidates);
+        rank.is_some_and(|rank| rank < rank_limit) && !snapshot.row.placed.contains_key(name)
     };
     catalog.models.keys().filter(|name| should_place(name)).collect()
 }
--- a/crates/trestle-core/src/review.rs
+++ b/crates/trestle-core/src/review.rs
@@ -193,7 +193,8 @@
             && retiring.waiting_for.iter().all(is_settled)
     }
 
-    /// Returns the retiring placements that can be removed because their models are gone for good.
+    /// Returns the retiring placements that can be removed because their models are unloaded and
+    /// can no longer be loaded.
     fn removable(
         &self,
         endpoint: &EndpointName,
--- a/crates/trestle-core/src/vm_list.rs
+++ b/crates/trestle-core/src/vm_list.rs
@@ -5,7 +5,7 @@
 
 /// History of the platform's list of VMs.
 ///
-/// A VM that was never listed counts as live, because the list lags. One that was listed and is
+/// A VM that was never listed counts as live, because the list lags. A VM that was listed and is
 /// missing now counts as gone once it has been missing for [`Timing::settle_ms`].
 #[trestle_macros::plain]
 #[derive(Default)]
--- a/crates/trestle-core/tests/simulation/deliver.rs
+++ b/crates/trestle-core/tests/simulation/deliver.rs
@@ -32,8 +32,8 @@
             }
             ScheduledEvent::Loaded(endpoint, model) => self.engine(&endpoint).loaded(&model),
             ScheduledEvent::Unloaded(endpoint, model) => self.engine(&endpoint).unloaded(&model),
-            ScheduledEvent::Begin { endpoint, model, owner, ticket, by_ms } => {
-                self.begin(endpoint, model, owner, ticket, by_ms);
+            ScheduledEvent::Begin { endpoint, model, owner, ticket, use_by_ms } => {
+                self.begin(endpoint, model, owner, ticket, use_by_ms);
             }
             ScheduledEvent::End { endpoint, model, owner, ticket } => {
                 self.engine(&endpoint).end(&model);
@@ -222,7 +222,7 @@
                 model: request.model,
                 owner: owner.clone(),
                 ticket,
-                by_ms: self.now_ms + PERMIT_USE_MS,
+                use_by_ms: self.now_ms + PERMIT_USE_MS,
             },
         );
     }
@@ -233,9 +233,9 @@
         model: ModelName,
         owner: VmName,
         ticket: Ticket,
-        by_ms: u64,
+        use_by_ms: u64,
     ) {
-        if self.now_ms > by_ms || !self.engine(&endpoint).begin(&model) {
+        if self.now_ms > use_by_ms || !self.engine(&endpoint).begin(&model) {
             self.release(&owner, endpoint, ticket);
             return;
         }
--- a/crates/trestle-core/tests/simulation/mod.rs
+++ b/crates/trestle-core/tests/simulation/mod.rs
@@ -59,7 +59,7 @@
         model: ModelName,
         owner: VmName,
         ticket: Ticket,
-        by_ms: u64,
+        use_by_ms: u64,
     },
     End {
         endpoint: EndpointName,
--- a/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
+++ b/crates/trestle-dispatch/examples/endpoint_limit_ways.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let end_ms = self.now_ms + LENGTH_MS;
         while self.now_ms < end_ms {
             if self.random.f64() < 0.3 * STEP_MS as f64 / 1e3 {
@@ -276,7 +276,7 @@
                 let (mut largest, mut usage, mut permit_requests) = (0.0_f64, 0.0, 0);
                 for seed in 0..10 {
                     let mut simulation = Simulation::new(method, per_ks, daemons, seed);
-                    simulation.play();
+                    simulation.run();
                     let (simulation_largest, simulation_usage) = simulation.judge();
                     largest = largest.max(simulation_largest);
                     usage += simulation_usage / 10.0;
--- a/crates/trestle-dispatch/examples/quota_ways.rs
+++ b/crates/trestle-dispatch/examples/quota_ways.rs
@@ -4,7 +4,7 @@
 //! There are three methods: an equal part for each daemon; parts that are allocated for a time by
 //! the recent demand at each daemon; and the method of `quota_allocator`, in which units are
 //! requested for each request as needed. The reference is one bucket that receives all requests:
-//! the requests that it admits should be admitted.
+//! a method should admit the requests that the reference admits.
 
 use fastrand::Rng;
 use trestle_core::names::TeamName;
@@ -36,8 +36,8 @@
 }
 
 impl Bucket {
-    fn take(&mut self, units: f64, per_ms: f64, most: f64, now_ms: u64) -> bool {
-        self.units = (self.units + per_ms * (now_ms - self.at_ms) as f64).min(most);
+    fn take(&mut self, units: f64, per_ms: f64, capacity: f64, now_ms: u64) -> bool {
+        self.units = (self.units + per_ms * (now_ms - self.at_ms) as f64).min(capacity);
         self.at_ms = now_ms;
         let is_admitted = self.units >= units;
         self.units -= if is_admitted { units } else { 0.0 };
@@ -62,18 +62,18 @@
 
 fn equal_parts(all: &[Request], limit: &TeamLimit, daemons: usize) -> Vec<bool> {
     let part = |whole: f64| whole / daemons as f64;
-    let most = part(limit.burst as f64 * 1.5 + BOUNDS.fixed / 2.0);
-    let mut buckets = vec![Bucket { units: most, at_ms: 0 }; daemons];
+    let capacity = part(limit.burst as f64 * 1.5 + BOUNDS.fixed / 2.0);
+    let mut buckets = vec![Bucket { units: capacity, at_ms: 0 }; daemons];
     let each = all.iter().map(|request| {
         let per_ms = part(limit.per_s as f64 / 1e3);
-        buckets[request.daemon].take(request.units, per_ms, most, request.at_ms)
+        buckets[request.daemon].take(request.units, per_ms, capacity, request.at_ms)
     });
     each.collect()
 }
 
 fn allocated_by_demand(all: &[Request], limit: &TeamLimit, daemons: usize) -> Vec<bool> {
-    let whole_most = limit.burst as f64 * 1.5 + BOUNDS.fixed / 2.0;
-    let mut buckets = vec![Bucket { units: whole_most / daemons as f64, at_ms: 0 }; daemons];
+    let whole_capacity = limit.burst as f64 * 1.5 + BOUNDS.fixed / 2.0;
+    let mut buckets = vec![Bucket { units: whole_capacity / daemons as f64, at_ms: 0 }; daemons];
     let mut shares = vec![1.0 / daemons as f64; daemons];
     let mut demand_units = vec![0.0; daemons];
     let mut allocated_ms = 0;
@@ -90,7 +90,7 @@
         demand_units[request.daemon] += request.units;
         let share = shares[request.daemon];
         let per_ms = share * limit.per_s as f64 / 1e3;
-        buckets[request.daemon].take(request.units, per_ms, share * whole_most, request.at_ms)
+        buckets[request.daemon].take(request.units, per_ms, share * whole_capacity, request.at_ms)
     });
     each.collect()
 }
@@ -141,15 +141,15 @@
     /// Units that the method admitted, relative to the units that the reference admits.
     admitted: f64,
     /// The most units in a window, relative to what is allowed.
-    most: f64,
+    max_in_window: f64,
 }
 
 fn judge(all: &[Request], admitted: &[bool], limit: &TeamLimit) -> Verdict {
-    let (per_ms, most) = (limit.per_s as f64 / 1e3, limit.burst as f64);
-    let mut reference = Bucket { units: most, at_ms: 0 };
+    let (per_ms, capacity) = (limit.per_s as f64 / 1e3, limit.burst as f64);
+    let mut reference = Bucket { units: capacity, at_ms: 0 };
     let (mut reference_units, mut refused) = (0.0, 0.0);
     for (request, admitted) in all.iter().zip(admitted) {
-        if reference.take(request.units, per_ms, most, request.at_ms) {
+        if reference.take(request.units, per_ms, capacity, request.at_ms) {
             reference_units += request.units;
             refused += if *admitted { 0.0 } else { request.units };
         }
@@ -170,11 +170,12 @@
         }
         largest = largest.max(sum);
     }
-    let allowed = (per_ms * BOUNDS.window_ms as f64 + most) * (1.0 + BOUNDS.excess) + BOUNDS.fixed;
+    let allowed =
+        (per_ms * BOUNDS.window_ms as f64 + capacity) * (1.0 + BOUNDS.excess) + BOUNDS.fixed;
     Verdict {
         refused: refused / reference_units,
         admitted: all_spent / reference_units,
-        most: largest / allowed,
+        max_in_window: largest / allowed,
     }
 }
 
@@ -189,7 +190,7 @@
                 let limit = TeamLimit { unit, per_s, burst: per_s };
                 let mut line = format!("{daemons:>3} {per_s:>7} {demand:>4}:");
                 for method in 0..3 {
-                    let (mut refused, mut volume, mut most) = (0.0, 0.0, 0.0_f64);
+                    let (mut refused, mut admitted_part, mut max_in_window) = (0.0, 0.0, 0.0_f64);
                     for seed in 0..5 {
                         let all = requests(per_s, demand, daemons, seed);
                         let admitted = match method {
@@ -199,11 +200,12 @@
                         };
                         let verdict = judge(&all, &admitted, &limit);
                         refused += verdict.refused / 5.0;
-                        volume += verdict.admitted / 5.0;
-                        most = most.max(verdict.most);
+                        admitted_part += verdict.admitted / 5.0;
+                        max_in_window = max_in_window.max(verdict.max_in_window);
                     }
                     let method = ["equal", "by demand", "as needed"][method];
-                    line += &format!("  {method} {refused:.3} {volume:.2} {most:.2}");
+                    line +=
+                        &format!("  {method} {refused:.3} {admitted_part:.2} {max_in_window:.2}");
                 }
                 println!("{line}");
             }
--- a/crates/trestle-dispatch/tests/backoff.rs
+++ b/crates/trestle-dispatch/tests/backoff.rs
@@ -132,7 +132,8 @@
         assert_eq!(accepted, [1, 3, 5, 7, 50]);
     }
 
-    /// A server that answers nothing after its backoff is used like others in the end.
+    /// A server whose first request after a backoff gets no answer is used like any other server
+    /// after a further time.
     a_backoff_has_no_lasting_effect => {
         let mut local_view = view_of(&["x"]);
         answered(&mut local_view, "x", Some(BACKOFF_MS), NOW_MS, NOW_MS);
--- a/crates/trestle-dispatch/tests/demand.rs
+++ b/crates/trestle-dispatch/tests/demand.rs
@@ -37,8 +37,8 @@
         let unsent = [("rare", 1)];
         new.report_received("vm".into(), report(&unsent, Some(daemon_rates.history(24_000))), 24_000);
         for model in ["busy", "rare"] {
-            let (was, is) = (rate(&old, model, 24_000), rate(&new, model, 24_000));
-            assert!((was - is).abs() < 0.01, "{model}: {was} and {is}");
+            let (old_rate, new_rate) = (rate(&old, model, 24_000), rate(&new, model, 24_000));
+            assert!((old_rate - new_rate).abs() < 0.01, "{model}: {old_rate} and {new_rate}");
         }
         let last_ms = new.rates().last_arrival_ms(&"rare".into());
         assert_eq!(last_ms, Some(20_000));
@@ -78,11 +78,11 @@
         demand.report_received("vm-2".into(), with_waiting(vec![waiting("a", 2)]), 0);
         let values: BTreeMap<_, _> = demand.aggregate(0).iter().map(|w| (w.model.clone(), w.value)).collect();
         assert!(values["a"] > values["b"]);
-        let first = DemandReport {
+        let urgent = DemandReport {
             waiting: vec![Waiting { priority: 0, ..waiting("c", 1) }],
             ..DemandReport::default()
         };
-        demand.report_received("vm-3".into(), first, 0);
+        demand.report_received("vm-3".into(), urgent, 0);
         assert_eq!(demand.aggregate(0)[0].model, &"c".into());
     }
 }
--- a/crates/trestle-dispatch/tests/departures.rs
+++ b/crates/trestle-dispatch/tests/departures.rs
@@ -57,8 +57,8 @@
     local_view.directory.usable(&"s".into()).map(|endpoint| endpoint.name.to_string()).collect()
 }
 
-/// Returns the departures known to a daemon that saw `x` at its fifth message, and then its
-/// removal.
+/// Returns the departures known to a daemon that received the entry of `x` with number 5, and then
+/// the removal of that entry.
 fn known() -> Vec<Departure> {
     let mut earlier = daemon(&[with_start_time("x", 5), with_start_time("y", 1)], 10);
     apply_list(&mut earlier, &[with_start_time("y", 1)], 20);
--- a/crates/trestle-dispatch/tests/directory.rs
+++ b/crates/trestle-dispatch/tests/directory.rs
@@ -11,7 +11,7 @@
 
 const DRAINING_MS: u64 = 2_000;
 
-fn listing_of(names: &[&str]) -> Directory {
+fn directory_of(names: &[&str]) -> Directory {
     let mut directory = Directory::new(DRAINING_MS);
     directory.record_read(true, 0);
     directory.replace_all(names.iter().map(|name| endpoint(name, "z", &[])).collect(), 0);
@@ -33,13 +33,13 @@
 
 cases! {
     a_removal_takes_effect_at_once => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         directory.apply_removal(&name("x"), 10_000);
         assert_eq!(usable(&directory), ["y"]);
     }
 
     an_entry_that_lapsed_during_a_store_outage_may_return => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 9_000);
         directory.apply_removal(&name("x"), 9_010);
@@ -51,7 +51,7 @@
     }
 
     a_lapsed_entry_that_does_not_return_is_dropped => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 9_000);
         directory.apply_removal(&name("x"), 9_010);
@@ -61,7 +61,7 @@
 
     // An entry that was removed 3.4 s after the store's return was kept for 2.2 s more.
     a_removal_long_after_the_outage_takes_effect_at_once => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         directory.record_read(false, 5_000);
         directory.record_read(true, 11_600);
         directory.apply_removal(&name("x"), 15_010);
@@ -80,10 +80,10 @@
     }
 
     // Entries lapse only after some seconds without a heartbeat: an endpoint whose entry is
-    // removed after a short outage of the store has stopped, possibly when the list was last
-    // known.
+    // removed after a short outage of the store has stopped, possibly as early as the last
+    // successful read of the list.
     an_entry_removed_after_a_short_outage_is_dropped => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         directory.record_read(true, 10_000);
         directory.record_read(false, 10_400);
         directory.record_read(true, 10_700);
@@ -93,7 +93,7 @@
     }
 
     an_entry_written_before_the_removal_is_rejected => {
-        let mut directory = listing_of(&[]);
+        let mut directory = directory_of(&[]);
         let mut entry = endpoint("x", "z", &[]);
         (entry.started_unix_ms, entry.entry_number) = (10, 7);
         assert!(directory.apply_written(entry.clone()));
@@ -109,14 +109,14 @@
     }
 
     without_start_times_message_numbers_may_restart => {
-        let mut directory = listing_of(&["x"]);
+        let mut directory = directory_of(&["x"]);
         directory.apply_removal(&name("x"), 10_000);
         assert!(directory.apply_written(endpoint("x", "z", &[])));
         assert_eq!(usable(&directory), ["x"]);
     }
 
     a_draining_endpoint_stays_draining => {
-        let mut directory = listing_of(&["x"]);
+        let mut directory = directory_of(&["x"]);
         let mut draining = endpoint("x", "z", &[]);
         draining.is_draining = true;
         draining.entry_number = 5;
@@ -129,7 +129,7 @@
     }
 
     no_entry_reverts_a_signal_in_an_answer => {
-        let mut directory = listing_of(&["x", "y"]);
+        let mut directory = directory_of(&["x", "y"]);
         let incarnation = endpoint("x", "z", &[]).incarnation();
         assert!(directory.mark_draining(&incarnation), "the endpoint was not draining before");
         assert!(!directory.mark_draining(&incarnation), "the endpoint was draining already");
@@ -148,7 +148,7 @@
     }
 
     an_older_message_does_not_replace_a_newer_one => {
-        let mut directory = listing_of(&[]);
+        let mut directory = directory_of(&[]);
         let mut newer = endpoint("x", "z", &["a"]);
         newer.entry_number = 9;
         directory.apply_written(newer);
@@ -163,7 +163,7 @@
     // under its name therefore counted as an older message, and an endpoint that had been
     // draining stayed so.
     a_restarted_endpoint_is_described_by_its_new_entry => {
-        let mut directory = listing_of(&["x"]);
+        let mut directory = directory_of(&["x"]);
         let mut draining = endpoint("x", "z", &["a"]);
         (draining.is_draining, draining.entry_number, draining.started_unix_ms) = (true, 500, 10);
         directory.apply_written(draining);
@@ -175,7 +175,7 @@
     }
 
     a_restart_with_an_earlier_clock_counts_as_new => {
-        let mut directory = listing_of(&[]);
+        let mut directory = directory_of(&[]);
         let mut before = endpoint("x", "z", &["a"]);
         (before.entry_number, before.started_unix_ms) = (500, 90_000);
         directory.apply_written(before);
@@ -186,7 +186,7 @@
     }
 
     a_relayed_restart_keeps_nothing_of_the_earlier_incarnation => {
-        let mut directory = listing_of(&[]);
+        let mut directory = directory_of(&[]);
         let mut before = endpoint("x", "z", &["a"]);
         (before.entry_number, before.started_unix_ms) = (500, 10);
         directory.apply_written(before);
--- a/crates/trestle-dispatch/tests/endpoint_limits.rs
+++ b/crates/trestle-dispatch/tests/endpoint_limits.rs
@@ -79,7 +79,7 @@
 struct Simulation {
     daemons: Vec<Daemon>,
     leader: usize,
-    /// The previous leader, which some daemons still ask.
+    /// The previous leader, which some daemons still query.
     former: usize,
     token: u64,
     /// Time from which on the leader holds its lease.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Plays a request at a daemon. Returns whether it was sent.
+    /// Simulates a request at a daemon. Returns whether the request was sent.
     fn request(&mut self, index: usize) -> bool {
         let now_ms = self.now_ms;
         let daemon = &mut self.daemons[index];
@@ -142,7 +142,7 @@
             self.send(index, 0);
             return true;
         };
-        match self.ask(index, observed) {
+        match self.request_permit(index, observed) {
             SendPermit::Lent => {
                 // Most requests are sent at once, some as late as allowed.
                 let max_delay_ms = PERMIT_VALID_MS + SEND_MS;
@@ -164,7 +164,7 @@
         false
     }
 
-    fn ask(&mut self, index: usize, observed: ObservedLimit) -> SendPermit {
+    fn request_permit(&mut self, index: usize, observed: ObservedLimit) -> SendPermit {
         let now_ms = self.now_ms;
         let queried = if self.random.u8(..4) == 0 { self.former } else { self.leader };
         let is_reached = now_ms >= self.daemons[index].cut_off_until_ms || index == queried;
@@ -216,9 +216,9 @@
         self.leads_from_ms = self.now_ms + self.random.u64(..2_000);
     }
 
-    /// Plays callers that send `per_s` requests a second to all daemons, with faults at the given
+    /// Simulates callers that send `per_s` requests a second to all daemons, with faults at the given
     /// rate.
-    fn play(&mut self, length_ms: u64, per_s: f64, faults_per_s: f64) {
+    fn run(&mut self, length_ms: u64, per_s: f64, faults_per_s: f64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
             self.deliver();
@@ -236,7 +236,7 @@
     }
 
     /// Returns the most requests in any window, once the limit had been announced for a while.
-    fn most_in_window(&mut self) -> usize {
+    fn max_in_window(&mut self) -> usize {
         self.arrivals.sort_unstable();
         let counted = self
             .arrivals
@@ -259,15 +259,15 @@
 
 /// Returns a simulation in which callers sent requests all the time, with faults at the given
 /// rate.
-fn played_simulation(daemons: usize, per_ks: u64, faults_per_s: f64, seed: u64) -> Simulation {
+fn finished_simulation(daemons: usize, per_ks: u64, faults_per_s: f64, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(daemons, Some(per_ks), seed);
-    simulation.play(LENGTH_MS, 200.0, faults_per_s);
+    simulation.run(LENGTH_MS, 200.0, faults_per_s);
     simulation
 }
 
-fn check_respected(simulation: &mut Simulation, per_ks: u64, what: &str) {
-    let (largest, allowed) = (simulation.most_in_window(), allowed(per_ks));
-    assert!(largest <= allowed, "{what}, {per_ks} in 1,000 s: {largest} of {allowed}");
+fn check_respected(simulation: &mut Simulation, per_ks: u64, case: &str) {
+    let (largest, allowed) = (simulation.max_in_window(), allowed(per_ks));
+    assert!(largest <= allowed, "{case}, {per_ks} in 1,000 s: {largest} of {allowed}");
 }
 
 cases! {
@@ -275,7 +275,7 @@
         for (daemons, seeds) in [(2, 40), (6, 60), (71, 20), (300, 6)] {
             for per_ks in [0, 100, 1_000, 1_300, 10_000, 60_000] {
                 for seed in 0..seeds {
-                    let mut simulation = played_simulation(daemons, per_ks, 0.5, seed);
+                    let mut simulation = finished_simulation(daemons, per_ks, 0.5, seed);
                     check_respected(&mut simulation, per_ks, &format!("{daemons} daemons, seed {seed}"));
                 }
             }
@@ -287,7 +287,7 @@
             let mut simulation = Simulation::new(6, Some(2_000), seed);
             for turn in 0..40 {
                 simulation.per_ks = Some([1_000, 1_300, 2_000][turn % 3]);
-                simulation.play(LENGTH_MS / 40, 200.0, 0.5);
+                simulation.run(LENGTH_MS / 40, 200.0, 0.5);
             }
             check_respected(&mut simulation, 1_300, &format!("seed {seed}"));
         }
@@ -296,7 +296,7 @@
     the_accepted_rate_is_used => {
         for daemons in [1, 6, 71, 300] {
             for per_ks in [1_000, 2_000, 10_000] {
-                let simulation = played_simulation(daemons, per_ks, 0.0, 1);
+                let simulation = finished_simulation(daemons, per_ks, 0.0, 1);
                 let begin_ms = BEGIN_MS + REACTION_MS;
                 let got = simulation.arrived(begin_ms, BEGIN_MS + LENGTH_MS) as f64;
                 let expected_count = per_ks as f64 / 1e6 * (LENGTH_MS - REACTION_MS) as f64;
@@ -307,17 +307,17 @@
 
     an_endpoint_with_a_tiny_limit_still_receives_requests => {
         for per_ks in [0, 50] {
-            let simulation = played_simulation(6, per_ks, 0.0, 1);
+            let simulation = finished_simulation(6, per_ks, 0.0, 1);
             assert!(simulation.arrived(BEGIN_MS + REACTION_MS, BEGIN_MS + LENGTH_MS) >= 5, "{per_ks}");
         }
     }
 
     a_lifted_limit_ends_within_seconds_and_step_by_step => {
         for daemons in [1, 6, 71] {
-            let mut simulation = played_simulation(daemons, 1_000, 0.0, 1);
+            let mut simulation = finished_simulation(daemons, 1_000, 0.0, 1);
             simulation.per_ks = None;
             let lifted_ms = simulation.now_ms;
-            simulation.play(20_000, 200.0, 0.0);
+            simulation.run(20_000, 200.0, 0.0);
             let first_s = simulation.arrived(lifted_ms, lifted_ms + 1_000);
             assert!(first_s <= 10, "{daemons} daemons: {first_s} in the first second");
             let later_s = simulation.arrived(lifted_ms + 14_000, lifted_ms + 15_000);
@@ -327,24 +327,24 @@
 
     a_limit_that_is_announced_again_while_it_is_lifted_holds => {
         for seed in 0..20 {
-            let mut simulation = played_simulation(6, 1_000, 0.0, seed);
+            let mut simulation = finished_simulation(6, 1_000, 0.0, seed);
             simulation.per_ks = None;
-            simulation.play(4_500, 200.0, 0.0);
+            simulation.run(4_500, 200.0, 0.0);
             simulation.per_ks = Some(1_000);
             let announced_ms = simulation.now_ms;
-            simulation.play(10_000, 200.0, 0.0);
+            simulation.run(10_000, 200.0, 0.0);
             simulation.arrivals.retain(|(at_ms, _)| *at_ms >= announced_ms + REACTION_MS);
             check_respected(&mut simulation, 1_000, &format!("seed {seed}"));
         }
     }
 
     a_single_answer_without_a_limit_does_not_lift_it => {
-        let mut simulation = played_simulation(6, 1_000, 0.0, 3);
+        let mut simulation = finished_simulation(6, 1_000, 0.0, 3);
         for _ in 0..40 {
             simulation.per_ks = None;
-            simulation.play(150, 200.0, 0.0);
+            simulation.run(150, 200.0, 0.0);
             simulation.per_ks = Some(1_000);
-            simulation.play(850, 200.0, 0.0);
+            simulation.run(850, 200.0, 0.0);
         }
         check_respected(&mut simulation, 1_000, "a limit that some answers lack");
     }
@@ -352,9 +352,9 @@
     an_isolated_daemon_sends_nothing_to_a_limited_endpoint => {
         let mut simulation = Simulation::new(3, Some(10_000), 1);
         simulation.daemons[2].cut_off_until_ms = u64::MAX;
-        simulation.play(2_000, 200.0, 0.0);
+        simulation.run(2_000, 200.0, 0.0);
         let before = simulation.daemons[2].sends;
-        simulation.play(10_000, 200.0, 0.0);
+        simulation.run(10_000, 200.0, 0.0);
         assert_eq!(simulation.daemons[2].sends, before);
     }
 
@@ -378,13 +378,13 @@
 
     an_unreadable_limit_changes_nothing_and_is_reported_once => {
         let mut backpressure = Backpressure::default();
-        let (announced, odd) = (announcing(Some(1_000)), EndpointSignals {
+        let (announced, unreadable) = (announcing(Some(1_000)), EndpointSignals {
             limit_per_ks: HeaderField::unreadable("NaN"),
             ..EndpointSignals::default()
         });
         backpressure.apply_answer(&incarnation(), success(&announced, 0), 100);
-        assert_eq!(backpressure.apply_answer(&incarnation(), success(&odd, 150), 160).len(), 1);
-        assert_eq!(backpressure.apply_answer(&incarnation(), success(&odd, 170), 180).len(), 0);
+        assert_eq!(backpressure.apply_answer(&incarnation(), success(&unreadable, 150), 160).len(), 1);
+        assert_eq!(backpressure.apply_answer(&incarnation(), success(&unreadable, 170), 180).len(), 0);
         assert_eq!(backpressure.limit(&incarnation()).map(|limit| limit.per_ks), Some(1_000));
         assert_eq!(backpressure.permit_requested(&incarnation(), 200).map(|observed| observed.answers_without_limit), Some(0));
     }
--- a/crates/trestle-dispatch/tests/identity.rs
+++ b/crates/trestle-dispatch/tests/identity.rs
@@ -52,7 +52,7 @@
     match Identity::of(&catalog, &route(is_public), credential, certainty) {
         Ok(identity) => identity.team().map_or("nobody".to_owned(), |team| team.name.to_string()),
         Err(NotAdmitted::UnknownKey) => "unknown".to_owned(),
-        Err(NotAdmitted::Uncertain) => "unsure".to_owned(),
+        Err(NotAdmitted::Uncertain) => "uncertain".to_owned(),
     }
 }
 
@@ -70,8 +70,8 @@
     a_public_route_needs_no_key: true, Credential::Missing, CERTAIN => "nobody";
     a_public_route_ignores_unknown_keys: true, key("x"), CERTAIN => "nobody";
     a_public_route_recognizes_teams: true, key("b1"), CERTAIN => "blue";
-    a_key_that_may_have_been_revoked_is_not_accepted: false, key("r1"), OUTDATED => "unsure";
-    a_key_that_may_have_been_issued_is_not_called_unknown: false, key("x"), LAGGING => "unsure";
+    a_key_that_may_have_been_revoked_is_not_accepted: false, key("r1"), OUTDATED => "uncertain";
+    a_key_that_may_have_been_issued_is_not_called_unknown: false, key("x"), LAGGING => "uncertain";
     a_missing_key_is_rejected_with_any_configuration: false, Credential::Missing, OUTDATED => "unknown";
     public_routes_work_with_any_configuration: true, Credential::Missing, OUTDATED => "nobody";
 }
--- a/crates/trestle-dispatch/tests/lease.rs
+++ b/crates/trestle-dispatch/tests/lease.rs
@@ -83,7 +83,7 @@
     lease: Lease,
     log: OrderLog,
     frozen_until_ms: u64,
-    cut_until_ms: u64,
+    cut_off_until_ms: u64,
     next_read_ms: u64,
     incarnation: u64,
     /// Time by which its clock is behind.
@@ -96,7 +96,7 @@
             lease: lease(&format!("vm-{number}"), 1),
             log: OrderLog::default(),
             frozen_until_ms: 0,
-            cut_until_ms: 0,
+            cut_off_until_ms: 0,
             next_read_ms: 0,
             incarnation: 1,
             behind_ms: 0,
@@ -147,7 +147,8 @@
                 let ((before_ms, leader), (at_ms, next)) = (pair[0], pair[1]);
                 if leader != next {
                     let gap_ms = at_ms - before_ms;
-                    shortest_ms = Some(shortest_ms.map_or(gap_ms, |least: u64| least.min(gap_ms)));
+                    shortest_ms =
+                        Some(shortest_ms.map_or(gap_ms, |shortest: u64| shortest.min(gap_ms)));
                 }
             }
         }
@@ -174,7 +175,7 @@
         let until_ms = self.now_ms + self.rng.u64(500..9_000);
         match self.rng.u32(0..1_200) {
             0 => self.daemons[number].frozen_until_ms = until_ms,
-            1 => self.daemons[number].cut_until_ms = until_ms,
+            1 => self.daemons[number].cut_off_until_ms = until_ms,
             2 => self.store_down_until_ms = until_ms,
             3 => {
                 let daemon = &mut self.daemons[number];
@@ -246,7 +247,7 @@
             return;
         }
         let own_ms = now_ms - daemon.behind_ms;
-        let reaches_store = now_ms >= daemon.cut_until_ms && now_ms >= self.store_down_until_ms;
+        let reaches_store = now_ms >= daemon.cut_off_until_ms && now_ms >= self.store_down_until_ms;
         if reaches_store && now_ms >= daemon.next_read_ms {
             daemon.next_read_ms = now_ms + self.rng.u64(300..1_500);
             daemon.lease.observed(self.store.row.clone(), self.store.version, own_ms);
@@ -305,21 +306,21 @@
         let (_, next, token) = *simulation.orders.last().expect("a daemon holds the lease");
         assert_ne!(next, holder);
         assert_eq!(token, 2);
-        let woken = simulation.orders.iter().filter(|(at_ms, leader, _)| *at_ms > 14_000 && *leader == holder);
-        assert_eq!(woken.count(), 0);
+        let orders_after_resuming = simulation.orders.iter().filter(|(at_ms, leader, _)| *at_ms > 14_000 && *leader == holder);
+        assert_eq!(orders_after_resuming.count(), 0);
     }
 
     released_lease_is_acquired_before_it_would_expire => {
         let mut simulation = Simulation::new(3);
         simulation.run(2_000, false);
-        let (left_ms, holder, _) = *simulation.orders.last().expect("a daemon holds the lease");
+        let (released_ms, holder, _) = *simulation.orders.last().expect("a daemon holds the lease");
         simulation.daemons[holder].lease.release();
         simulation.run(8_000, false);
         assert!(simulation.daemons[holder].lease.is_release_done());
         let first = simulation.orders.iter().find(|(_, leader, _)| *leader != holder);
         let (first_ms, ..) = *first.expect("another daemon acquires it");
-        assert!(first_ms >= left_ms + TIMING.quiet_ms);
-        assert!(first_ms < left_ms + TIMING.quiet_ms + 2_000, "{first_ms} after {left_ms}");
+        assert!(first_ms >= released_ms + TIMING.quiet_ms);
+        assert!(first_ms < released_ms + TIMING.quiet_ms + 2_000, "{first_ms} after {released_ms}");
     }
 
     store_outage_stops_orders_and_replaces_no_holder => {
@@ -332,8 +333,8 @@
         assert!(token_after == token && after == holder || token_after == token + 1);
     }
 
-    // Orders of two VMs to one engine must keep the quiet time, and fencing numbers must never
-    // fall, whatever is frozen, partitioned, lost or late.
+    // Orders of two VMs to one engine must keep the quiet time, and fencing tokens must never
+    // decrease, whatever is frozen, partitioned, lost or late.
     orders_of_two_vms_to_one_engine_keep_the_quiet_time => {
         let (mut handovers, mut quick) = (0, 0);
         for seed in (0..400).chain([1_196]) {
@@ -391,7 +392,7 @@
         simulation.run(4_000, false);
         let (_, holder, _) = *simulation.orders.last().expect("a daemon holds the lease");
         let cut_ms = simulation.now_ms;
-        simulation.daemons[holder].cut_until_ms = cut_ms + 20_000;
+        simulation.daemons[holder].cut_off_until_ms = cut_ms + 20_000;
         simulation.run(6_000, false);
         let first = simulation.orders.iter().find(|(_, leader, _)| *leader != holder);
         let (first_ms, ..) = *first.expect("another daemon acquires it");
--- a/crates/trestle-dispatch/tests/listing.rs
+++ b/crates/trestle-dispatch/tests/listing.rs
@@ -217,8 +217,8 @@
         apply_update(&mut new, old.list_since(0), Source::Leader);
         assert!(usable(&new).is_empty());
         // An entry that the endpoint writes after that is accepted.
-        let back = Endpoint { entry_number: 2, ..ready };
-        apply_update(&mut old, partial(vec![listed(back, 12)], &[], 12), Source::Store);
+        let returned = Endpoint { entry_number: 2, ..ready };
+        apply_update(&mut old, partial(vec![listed(returned, 12)], &[], 12), Source::Store);
         apply_update(&mut new, old.list_since(9), Source::Leader);
         assert_eq!((usable(&old), usable(&new)), (vec!["a".to_owned()], vec!["a".to_owned()]));
     }
@@ -254,15 +254,15 @@
     // gaps. In the end all are equal to the table.
     copies_agree_with_the_table_whichever_source_they_follow => {
         for seed in 0..500 {
-            play(seed, 0);
+            simulate(seed, 0);
         }
     }
 
-    // The same, with answers and relayed updates that arrive after newer ones: no copy returns to
-    // an earlier state of a key.
+    // Copies follow the store and each other as in the previous test, but answers and relayed
+    // updates may arrive after newer ones.
     no_copy_returns_to_an_earlier_state => {
         for seed in 0..1_000 {
-            play(seed, 12);
+            simulate(seed, 12);
         }
     }
 }
@@ -352,7 +352,7 @@
 }
 
 /// Changes a table and sends updates to its copies; an update takes up to `max_delay` steps.
-fn play(seed: u64, max_delay: u64) {
+fn simulate(seed: u64, max_delay: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut simulation = Simulation::new();
     let mut in_transit: Vec<Message> = Vec::new();
--- a/crates/trestle-dispatch/tests/orders.rs
+++ b/crates/trestle-dispatch/tests/orders.rs
@@ -55,7 +55,8 @@
     busy_until_ms: u64,
     /// Orders that are carried out later if their count still matches.
     late: Vec<(u64, Order, u64)>,
-    /// Until when requests use the adapters; one ordered to be unloaded before is unloaded then.
+    /// Time until which requests use the adapters; an adapter that is ordered to be unloaded earlier
+    /// is unloaded then.
     used_until_ms: u64,
     unloading: Vec<(ModelName, AdapterName)>,
     max_mb: u64,
@@ -151,38 +152,41 @@
     }
 }
 
-/// Runs a chain against an engine and returns its last step; `fate` decides on the n-th order.
+/// Runs a chain against an engine and returns its last step.
+///
+/// `delivery_of` receives the number of a step that sends an order, and returns how the order and
+/// its answer are delivered.
 fn run_chain(
     chain: &mut OrderChain,
     engine: &mut Engine,
-    fate: impl Fn(usize) -> Fate,
+    delivery_of: impl Fn(usize) -> Delivery,
 ) -> NextStep {
-    run_chain_from(1_000, chain, engine, fate).0
+    run_chain_from(1_000, chain, engine, delivery_of).0
 }
 
-/// Does the same from a given time on and also returns the time of the end.
+/// Runs a chain like [`run_chain`], from a given time on, and also returns when it ended.
 fn run_chain_from(
     mut now_ms: u64,
     chain: &mut OrderChain,
     engine: &mut Engine,
-    fate: impl Fn(usize) -> Fate,
+    delivery_of: impl Fn(usize) -> Delivery,
 ) -> (NextStep, u64) {
     for number in 0..400 {
         let (next, not_before_ms) = chain.next();
         now_ms = now_ms.max(not_before_ms) + 3;
         match next {
             NextStep::Report => chain.apply_report(Some(&engine.report(now_ms)), now_ms),
-            NextStep::Send(order, count) => match fate(number) {
-                Fate::Answered => {
+            NextStep::Send(order, count) => match delivery_of(number) {
+                Delivery::Answered => {
                     let answer = engine.receive(&order, count, now_ms);
                     chain.apply_answer(answer, now_ms);
                 }
-                Fate::AnswerLost => {
+                Delivery::AnswerLost => {
                     engine.receive(&order, count, now_ms);
                     chain.apply_answer(OrderAnswer::Unknown, now_ms + 500);
                     now_ms += 500;
                 }
-                Fate::Late(by_ms) => {
+                Delivery::Late(by_ms) => {
                     engine.late.push((now_ms + by_ms, order, count));
                     chain.apply_answer(OrderAnswer::Unknown, now_ms + 500);
                     now_ms += 500;
@@ -194,8 +198,9 @@
     panic!("the chain does not end: {chain:?}");
 }
 
+/// Delivery of an order and its answer.
 #[derive(Clone, Copy)]
-enum Fate {
+enum Delivery {
     Answered,
     AnswerLost,
     Late(u64),
@@ -210,7 +215,7 @@
         let before = held(&[("a", &[]), ("b", &[]), ("c", &[])]);
         let mut engine = Engine::new(before.clone(), 4);
         let mut chain = OrderChain::new(spec(), swap("a", "d"), before, Some(4), LOAD_MS);
-        assert_eq!(run_chain(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Done);
+        assert_eq!(run_chain(&mut chain, &mut engine, |_| Delivery::Answered), NextStep::Done);
         assert_eq!(engine.held, held(&[("b", &[]), ("c", &[]), ("d", &[])]));
         assert_eq!(chain.held(), &engine.held);
         assert_eq!(chain.order_count(), Some(6));
@@ -222,7 +227,7 @@
         let mut engine = Engine::new(before, 7);
         let stale = held(&[("a", &[])]);
         let mut chain = OrderChain::new(spec(), load_adapter("a", "x"), stale, Some(7), 0);
-        assert_eq!(run_chain(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Done);
+        assert_eq!(run_chain(&mut chain, &mut engine, |_| Delivery::Answered), NextStep::Done);
         assert_eq!(chain.order_count(), Some(7));
     }
 
@@ -232,7 +237,7 @@
         let mut engine = Engine::new(true_state.clone(), 3);
         let stale = held(&[("a", &[])]);
         let mut chain = OrderChain::new(spec(), load_adapter("a", "z"), stale, None, 0);
-        assert_eq!(run_chain(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Failed(Failure::Changed));
+        assert_eq!(run_chain(&mut chain, &mut engine, |_| Delivery::Answered), NextStep::Failed(Failure::Changed));
         assert_eq!(engine.held, true_state);
         assert_eq!(chain.held(), &true_state);
     }
@@ -248,7 +253,7 @@
             Order::LoadAdapter("a".into(), "z".into()),
         ];
         let mut chain = OrderChain::new(spec(), steps, before, Some(5), 0);
-        let end = run_chain(&mut chain, &mut engine, |_| Fate::Answered);
+        let end = run_chain(&mut chain, &mut engine, |_| Delivery::Answered);
         assert_eq!(engine.max_adapters, 2);
         assert!(matches!(end, NextStep::Failed(Failure::Changed)), "{end:?}");
     }
@@ -267,21 +272,21 @@
             vec![Order::UnloadAdapter("a".into(), "x".into()), Order::LoadAdapter("a".into(), load.into())]
         };
         let mut first = OrderChain::new(spec(), swap("z"), before, Some(5), 0);
-        run_chain(&mut first, &mut engine, |_| Fate::Answered);
-        // Its load gets no answer, however often it is sent.
-        let late = |number| if number == 0 { Fate::Answered } else { Fate::Late(9_000) };
+        run_chain(&mut first, &mut engine, |_| Delivery::Answered);
+        // The load of the second chain gets no answer, however often it is sent.
+        let late = |number| if number == 0 { Delivery::Answered } else { Delivery::Late(9_000) };
         let mut second =
             OrderChain::new(spec(), swap("z"), first.held().clone(), first.order_count(), 0);
         let (_, now_ms) = run_chain_from(2_000, &mut second, &mut engine, late);
         let mut third =
             OrderChain::new(spec(), load_adapter("a", "w"), second.held().clone(), None, 0);
-        run_chain_from(now_ms, &mut third, &mut engine, |_| Fate::Answered);
+        run_chain_from(now_ms, &mut third, &mut engine, |_| Delivery::Answered);
         engine.report(60_000);
         assert_eq!(engine.max_adapters, 2);
     }
 
-    // The same failure over many successive changes, by leaders that have the last report or none,
-    // with adapters in use from time to time.
+    // Guards against late loads, like the previous test, over many successive changes, by leaders
+    // that have the last report or none, with adapters in use from time to time.
     no_series_of_changes_overfills_an_engine => {
         for seed in 0..4_000 {
             let mut rng = fastrand::Rng::with_seed(seed);
@@ -289,10 +294,10 @@
             let mut engine = Engine::new(before.clone(), 0);
             let (mut known, mut count, mut now_ms) = (before, None, 1_000);
             for _ in 0..6 {
-                let fates: Vec<Fate> = (0..400).map(|_| match rng.u32(0..10) {
-                    0 => Fate::AnswerLost,
-                    1..=4 => Fate::Late(rng.u64(500..9_000)),
-                    _ => Fate::Answered,
+                let deliveries: Vec<Delivery> = (0..400).map(|_| match rng.u32(0..10) {
+                    0 => Delivery::AnswerLost,
+                    1..=4 => Delivery::Late(rng.u64(500..9_000)),
+                    _ => Delivery::Answered,
                 }).collect();
                 if rng.bool() {
                     engine.used_until_ms = now_ms + rng.u64(0..1_500);
@@ -303,7 +308,7 @@
                     steps.insert(0, Order::UnloadAdapter("a".into(), loaded[rng.usize(0..loaded.len())].clone()));
                 }
                 let mut chain = OrderChain::new(spec(), steps, known, count, 0);
-                let (_, ended_ms) = run_chain_from(now_ms, &mut chain, &mut engine, |number| fates[number]);
+                let (_, ended_ms) = run_chain_from(now_ms, &mut chain, &mut engine, |number| deliveries[number]);
                 now_ms = ended_ms + rng.u64(0..2_000);
                 known = chain.held().clone();
                 count = chain.order_count().filter(|_| rng.u32(0..4) > 0);
@@ -319,7 +324,7 @@
         let stale = held(&[("a", &[]), ("b", &[])]);
         let steps = vec![Order::LoadModel("d".into())];
         let mut chain = OrderChain::new(spec(), steps, stale, None, LOAD_MS);
-        assert_eq!(run_chain(&mut chain, &mut engine, |_| Fate::Answered), NextStep::Failed(Failure::Changed));
+        assert_eq!(run_chain(&mut chain, &mut engine, |_| Delivery::Answered), NextStep::Failed(Failure::Changed));
         assert_eq!(engine.held, true_state);
     }
 
@@ -327,7 +332,7 @@
         let before = held(&[("a", &[])]);
         let mut engine = Engine::new(before.clone(), 0);
         let mut chain = OrderChain::new(spec(), swap("a", "b"), before, Some(0), LOAD_MS);
-        let end = run_chain(&mut chain, &mut engine, |_| Fate::Late(1_000_000));
+        let end = run_chain(&mut chain, &mut engine, |_| Delivery::Late(1_000_000));
         assert_eq!(end, NextStep::Failed(Failure::Silent));
         assert_eq!(chain.order_count(), None);
     }
@@ -338,16 +343,16 @@
     lost_and_late_orders_never_overfill_an_engine => {
         for seed in 0..3_000 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let fates: Vec<Fate> = (0..400).map(|_| match rng.u32(0..10) {
-                0..=1 => Fate::AnswerLost,
-                2..=4 => Fate::Late(rng.u64(100..6_000)),
-                _ => Fate::Answered,
+            let deliveries: Vec<Delivery> = (0..400).map(|_| match rng.u32(0..10) {
+                0..=1 => Delivery::AnswerLost,
+                2..=4 => Delivery::Late(rng.u64(100..6_000)),
+                _ => Delivery::Answered,
             }).collect();
             let before = held(&[("a", &[]), ("b", &[]), ("c", &["x"])]);
             let mut engine = Engine::new(before.clone(), 0);
             let count = rng.bool().then_some(0);
             let mut chain = OrderChain::new(spec(), swap("a", "d"), before, count, LOAD_MS);
-            let end = run_chain(&mut chain, &mut engine, |number| fates[number]);
+            let end = run_chain(&mut chain, &mut engine, |number| deliveries[number]);
             assert!(engine.max_mb <= 220, "seed {seed}: {} MB", engine.max_mb);
             if end == NextStep::Done {
                 let after = held(&[("b", &[]), ("c", &["x"]), ("d", &[])]);
--- a/crates/trestle-dispatch/tests/outage.rs
+++ b/crates/trestle-dispatch/tests/outage.rs
@@ -44,20 +44,20 @@
 
     // Loops that wait for the exact moment took every attempt, and a daemon that polls each
     // 250 ms could not acquire a free lease for 20 s.
-    a_polling_caller_gets_attempts => {
+    a_polling_daemon_gets_attempts => {
         let mut outage = Outage::new(1_000);
         outage.failed(0);
-        let mut turns = 0;
+        let mut polls = 0;
         for now_ms in (10..10_000).step_by(10) {
             if now_ms % 250 == 130 && outage.may_try(now_ms) {
-                turns += 1;
+                polls += 1;
                 outage.failed(now_ms);
             }
             if outage.try_now(now_ms).is_ok() {
                 outage.failed(now_ms);
             }
         }
-        assert!(turns >= 5, "{turns} turns in 10 s");
+        assert!(polls >= 5, "{polls} attempts in 10 s");
     }
 
     one_answer_ends_the_outage => {
--- a/crates/trestle-dispatch/tests/placement_log.rs
+++ b/crates/trestle-dispatch/tests/placement_log.rs
@@ -56,12 +56,12 @@
             let mut mirrors: Vec<PlacementMirror> =
                 (0..3).map(|_| PlacementMirror::default()).collect();
             for _ in 0..200 {
-                let now = engines(&mut rng);
-                update(&mut log, &now);
+                let current = engines(&mut rng);
+                update(&mut log, &current);
                 let client = rng.usize(0..3);
                 let mirror = &mut mirrors[client];
                 mirror.apply_delta(log.delta(mirror.position()));
-                assert_eq!(mirrored(mirror), expected(&now), "seed {seed}");
+                assert_eq!(mirrored(mirror), expected(&current), "seed {seed}");
                 let order: Vec<&EndpointName> = log.engines().collect();
                 assert!(order.into_iter().eq(mirror.engines().map(|(name, _)| name)));
             }
--- a/crates/trestle-dispatch/tests/placing.rs
+++ b/crates/trestle-dispatch/tests/placing.rs
@@ -24,7 +24,7 @@
     engines: Vec<Endpoint>,
     loaded_at_ms: BTreeMap<ModelName, u64>,
     changes: BTreeMap<EndpointName, Change>,
-    quiet: BTreeSet<EndpointName>,
+    without_orders: BTreeSet<EndpointName>,
     demand: Demand,
 }
 
@@ -47,7 +47,7 @@
             held: &endpoint.held,
             loaded_at_ms: &self.loaded_at_ms,
             change: self.changes.get(&endpoint.name),
-            may_change: !self.quiet.contains(&endpoint.name),
+            may_change: !self.without_orders.contains(&endpoint.name),
         });
         let (observed, policy) = (ObservedTimes::default(), Policy::default());
         let inputs = PlanInputs {
@@ -148,13 +148,13 @@
         assert!(ready("e") > ready("d"));
     }
 
-    engine_that_may_not_be_ordered_counts_but_gets_no_orders => {
+    engine_that_may_get_no_orders_still_counts => {
         let engines = vec![
             all_on_disk(endpoint("x", "z", &["a"])),
             all_on_disk(endpoint("y", "z", &["b", "c", "e"])),
         ];
         let mut fixture = Fixture::new(engines);
-        fixture.quiet.insert("x".into());
+        fixture.without_orders.insert("x".into());
         let mut report = demand_for("d");
         report.waiting.push(waiting("a", None));
         fixture.add_report(report);
--- a/crates/trestle-dispatch/tests/quota.rs
+++ b/crates/trestle-dispatch/tests/quota.rs
@@ -17,8 +17,8 @@
 const BOUNDS: QuotaBounds = QuotaBounds { window_ms: 8_000, excess: 0.1, fixed: 17_000.0 };
 /// Number of groups that share a limit.
 const GROUPS: usize = 3;
-/// Units of a usual request.
-const USUAL: u64 = 1_000;
+/// Units of a typical request.
+const TYPICAL_UNITS: u64 = 1_000;
 
 fn limit(per_s: u64) -> TeamLimit {
     TeamLimit { unit: LimitUnit::Tokens { default_tokens: 200 }, per_s, burst: per_s }
@@ -46,7 +46,7 @@
     now_ms: u64,
     /// For each group the daemon that leads it.
     leaders: [usize; GROUPS],
-    /// For each group the previous leader, which some daemons still ask.
+    /// For each group the previous leader, which some daemons still query.
     former: [usize; GROUPS],
     /// For each group the fencing token of its lease.
     tokens: [u64; GROUPS],
@@ -105,8 +105,8 @@
         self.set_groups();
     }
 
-    /// Plays a request at a daemon, whose leader may ask the other leaders. Returns whether it
-    /// was served.
+    /// Simulates a request at a daemon, whose leader may request units from the other leaders.
+    /// Returns whether the request was served.
     fn request(&mut self, daemon: usize, units: u64) -> bool {
         let (team, plan, now_ms) = (team(), self.plan, self.now_ms);
         if self.allowances[daemon].spend(&team, units, now_ms).is_some() {
@@ -161,7 +161,7 @@
     }
 
     /// Returns the most units that were spent in any window.
-    fn most_in_window(&mut self) -> u64 {
+    fn max_in_window(&mut self) -> u64 {
         self.spent.sort_unstable();
         let (mut largest, mut sum, mut first) = (0, 0, 0);
         for index in 0..self.spent.len() {
@@ -181,11 +181,11 @@
     (units * (1.0 + BOUNDS.excess) + BOUNDS.fixed) as u64
 }
 
-/// Plays 40 s in which a team requests a multiple of its limit; `uneven` is the part of the
+/// Simulates 40 s in which a team requests a multiple of its limit; `uneven` is the part of the
 /// requests that arrives at one daemon.
-fn play(per_s: u64, demand: f64, uneven: f64, has_faults: bool, seed: u64) -> Simulation {
+fn simulate(per_s: u64, demand: f64, uneven: f64, has_faults: bool, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(per_s, has_faults, seed);
-    let gap_ms = USUAL as f64 * 1e3 / (per_s as f64 * demand);
+    let gap_ms = TYPICAL_UNITS as f64 * 1e3 / (per_s as f64 * demand);
     let mut due_ms = 1_000.0;
     // Buckets are full when callers start.
     simulation.now_ms = 14_000;
@@ -197,7 +197,7 @@
         }
         let at_one = simulation.random.f64() < uneven;
         let daemon = if at_one { 4 } else { simulation.random.usize(..DAEMONS) };
-        let units = simulation.random.u64(USUAL / 2..USUAL * 3 / 2);
+        let units = simulation.random.u64(TYPICAL_UNITS / 2..TYPICAL_UNITS * 3 / 2);
         simulation.request(daemon, units);
     }
     simulation
@@ -207,8 +207,8 @@
     no_history_exceeds_the_agreed_bounds_in_a_window => {
         for seed in 0..60 {
             for per_s in [4_200, 30_000, 273_068] {
-                let mut simulation = play(per_s, 8.0, 0.5, true, seed);
-                let largest = simulation.most_in_window();
+                let mut simulation = simulate(per_s, 8.0, 0.5, true, seed);
+                let largest = simulation.max_in_window();
                 assert!(largest <= allowed(per_s), "seed {seed}: {largest} of {}", allowed(per_s));
             }
         }
@@ -218,7 +218,7 @@
         for per_s in [4_200, 30_000, 273_068] {
             let (mut refused, mut requested_units) = (0, 0);
             for seed in 0..20 {
-                let simulation = play(per_s, 0.55, 0.5, false, seed);
+                let simulation = simulate(per_s, 0.55, 0.5, false, seed);
                 refused += simulation.refused;
                 requested_units += simulation.refused + simulation.spent.iter().map(|(_, units)| units).sum::<u64>();
             }
@@ -228,18 +228,18 @@
 
     a_team_above_its_limit_gets_nearly_all_of_it => {
         for per_s in [4_200, 30_000, 273_068] {
-            let simulation = play(per_s, 6.0, 0.5, false, 1);
+            let simulation = simulate(per_s, 6.0, 0.5, false, 1);
             let spent: u64 = simulation.spent.iter().map(|(_, units)| units).sum();
-            let owed = per_s * 40;
-            assert!(spent * 50 >= owed * 49, "{per_s}: {spent} of {owed}");
+            let expected = per_s * 40;
+            assert!(spent * 50 >= expected * 49, "{per_s}: {spent} of {expected}");
         }
     }
 
     a_new_leader_starts_with_an_empty_bucket => {
         let (plan, mut quota_allocator) = (plan(30_000), QuotaAllocator::default());
         quota_allocator.set_leases(&leases(1), 10_000);
-        assert!(matches!(quota_allocator.allocate(&team(), USUAL, &plan, 10_000), Allocation::Refused { .. }));
-        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, 10_200), Allocation::Granted(USUAL));
+        assert!(matches!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, 10_000), Allocation::Refused { .. }));
+        assert_eq!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, 10_200), Allocation::Granted(TYPICAL_UNITS));
     }
 
     // The entries of all endpoints of a failure domain lapsed, so the leader of three groups
@@ -265,24 +265,24 @@
         quota_allocator.set_leases(&leases(1), 0);
         assert_eq!(quota_allocator.allocate(&team(), 1, &plan, 9_000), Allocation::Granted(1));
         quota_allocator.set_leases(&BTreeMap::new(), 9_000);
-        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, 9_500), Allocation::Granted(USUAL));
-        assert_eq!(quota_allocator.transfer_out(&team(), USUAL, &plan, 9_500), 0);
+        assert_eq!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, 9_500), Allocation::Granted(TYPICAL_UNITS));
+        assert_eq!(quota_allocator.transfer_out(&team(), TYPICAL_UNITS, &plan, 9_500), 0);
         let emptied_ms = 9_000 + (plan.most_units / plan.units_per_ms) as u64;
-        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, emptied_ms), Allocation::NotLeading);
+        assert_eq!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, emptied_ms), Allocation::NotLeading);
     }
 
     a_refusal_names_the_time_after_which_units_are_allocated => {
         let (plan, mut quota_allocator) = (plan(4_200), QuotaAllocator::default());
         quota_allocator.set_leases(&leases(GROUPS), 0);
-        let Allocation::Refused { in_ms } = quota_allocator.allocate(&team(), USUAL, &plan, 0) else { panic!("units were allocated") };
+        let Allocation::Refused { in_ms } = quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, 0) else { panic!("units were allocated") };
         assert!((200..300).contains(&in_ms), "{in_ms}");
-        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan, in_ms), Allocation::Granted(USUAL));
+        assert_eq!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan, in_ms), Allocation::Granted(TYPICAL_UNITS));
     }
 
     a_lowered_limit_shrinks_its_bucket => {
         let mut quota_allocator = QuotaAllocator::default();
         quota_allocator.set_leases(&leases(1), 0);
-        assert_eq!(quota_allocator.allocate(&team(), USUAL, &plan(273_068), 9_000), Allocation::Granted(USUAL));
+        assert_eq!(quota_allocator.allocate(&team(), TYPICAL_UNITS, &plan(273_068), 9_000), Allocation::Granted(TYPICAL_UNITS));
         let low = plan(600);
         let mut allocated = 0;
         while let Allocation::Granted(units) = quota_allocator.allocate(&team(), 100, &low, 9_000) {
@@ -293,14 +293,14 @@
 
     allocated_units_expire => {
         let mut allowances = Allowances::default();
-        allowances.add(&team(), USUAL, 1_400);
-        assert_eq!(allowances.spend(&team(), USUAL, 1_400), None);
-        allowances.add(&team(), USUAL, 1_800);
-        assert_eq!(allowances.spend(&team(), USUAL, 1_700), Some(1_800));
+        allowances.add(&team(), TYPICAL_UNITS, 1_400);
+        assert_eq!(allowances.spend(&team(), TYPICAL_UNITS, 1_400), None);
+        allowances.add(&team(), TYPICAL_UNITS, 1_800);
+        assert_eq!(allowances.spend(&team(), TYPICAL_UNITS, 1_700), Some(1_800));
         assert_eq!(allowances.spend(&team(), 1, 1_700), None);
     }
 
-    a_daemon_does_not_ask_again_while_units_are_exhausted => {
+    a_daemon_sends_no_requests_for_units_while_units_are_exhausted => {
         let mut allowances = Allowances::default();
         allowances.refused(&team(), 300, 1_000);
         assert_eq!(allowances.exhausted_for_ms(&team(), 1_100), Some(200));
--- a/crates/trestle-dispatch/tests/selection.rs
+++ b/crates/trestle-dispatch/tests/selection.rs
@@ -182,10 +182,10 @@
 
     // Callers were told to retry after a guessed 1.5 s, before the next leader gave its first
     // order.
-    without_a_leader_only_requests_whose_callers_stay_long_enough_wait => {
+    without_a_leader_only_requests_with_a_long_caller_timeout_wait => {
         let mut fixture = Fixture::new(vec![endpoint("x", "z", &["a"])], "b");
         fixture.local_view.record_leader(false, NOW_MS);
-        assert!(matches!(fixture.select(0), Selection::Wait { .. }), "its caller stays for 10 s");
+        assert!(matches!(fixture.select(0), Selection::Wait { .. }), "the caller timeout is 10 s");
         fixture.route.objective_ms = 300;
         let refused = fixture.select(0);
         assert_eq!(reason(&refused), Some(Reason::ReadyTooLate));
--- a/crates/trestle-dispatch/tests/service_state.rs
+++ b/crates/trestle-dispatch/tests/service_state.rs
@@ -83,7 +83,7 @@
         assert_eq!(started.len(), 1);
         assert_eq!((started[0].0.name.as_str(), started[0].1.model.as_str()), ("y", "a"));
         let summary = &view(&state, &engines, 1_100).engines[&EndpointName::from("x")];
-        assert_eq!(summary.holds, engines[0].held, "what it holds is still reported");
+        assert_eq!(summary.holds, engines[0].held, "what the engine holds is still reported");
     }
 
     older_entry_does_not_undo_a_change => {
--- a/crates/trestle-dispatch/tests/sharing.rs
+++ b/crates/trestle-dispatch/tests/sharing.rs
@@ -77,7 +77,8 @@
 
 cases! {
     // The callers of each domain request models of which some domain has a local copy. If each
-    // leader loaded them, a model would take up to three of the nine places.
+    // leader loaded them, a model would be loaded up to three times, at engines that together hold
+    // nine models.
     model_in_demand_in_all_domains_is_loaded_once => {
         let copies = ["d", "e", "f", "g", "h", "i", "j"];
         let engines = [
@@ -265,7 +266,7 @@
         groups.update(domains(&["z1", "z2"]), 256, 0);
         assert_eq!((groups.home_group(&one), groups.home_group(&other)), (&one, &other));
         groups.update(domains(&["z1", "z2"]), 110, 0);
-        assert_eq!(groups.home_group(&other), &other, "a few engines less change nothing");
+        assert_eq!(groups.home_group(&other), &other, "a few engines fewer change nothing");
         groups.update(domains(&["z1", "z2"]), 90, 0);
         assert_eq!(groups.home_group(&other), &one);
     }
@@ -320,14 +321,14 @@
     // 295 daemons that had just started assumed 12 daemons, and each used a twelfth of the budget.
     daemons_that_start_together_keep_the_budget => {
         let bounds = RetryBounds { ratio: 0.2, window_ms: 10_000, fixed: 630 };
-        let mut taken = 0;
+        let mut spent = 0;
         for _ in 0..295 {
             let mut share = RetryShare::default();
             let (requests, daemons) = (4, 0);
             (0..requests).for_each(|_| share.record_request(1_000));
-            taken += (0..50).filter(|_| share.spend(1_100, &bounds, daemons)).count();
+            spent += (0..50).filter(|_| share.spend(1_100, &bounds, daemons)).count();
         }
-        assert!(taken as f64 <= 295.0 * 4.0 * 0.2 + 630.0, "{taken}");
+        assert!(spent as f64 <= 295.0 * 4.0 * 0.2 + 630.0, "{spent}");
     }
 
     new_leader_uses_the_previous_count_until_its_own_is_complete => {
--- a/crates/trestle-dispatch/tests/traffic.rs
+++ b/crates/trestle-dispatch/tests/traffic.rs
@@ -268,9 +268,9 @@
         };
         for from_ms in (10_000..30_000u64).step_by(100) {
             let windows = [from_ms, from_ms - 5_000, from_ms - 10_000];
-            let most = windows.map(|from_ms| within(&counted, from_ms)).into_iter().fold(0.0, f64::max);
-            let (taken, allowed) = (within(&repeats, from_ms), 0.2 * most + 52.0);
-            assert!(taken <= allowed, "{taken} of {allowed} from {from_ms}");
+            let max_counted = windows.map(|from_ms| within(&counted, from_ms)).into_iter().fold(0.0, f64::max);
+            let (spent, allowed) = (within(&repeats, from_ms), 0.2 * max_counted + 52.0);
+            assert!(spent <= allowed, "{spent} of {allowed} from {from_ms}");
         }
     }
 
@@ -297,8 +297,8 @@
                     times.iter().filter(|at| (from_ms..end_ms).contains(*at)).count() as f64
                 };
                 let allowed = 0.2 * count(&requests, end_ms - 10_000) + 52.0;
-                let taken = count(&repeats, end_ms - 10_000);
-                assert!(taken <= allowed, "seed {seed}: {taken} of {allowed} by {end_ms}");
+                let spent = count(&repeats, end_ms - 10_000);
+                assert!(spent <= allowed, "seed {seed}: {spent} of {allowed} by {end_ms}");
             }
         }
     }
--- a/crates/trestle-dispatch/tests/unresolved_requests.rs
+++ b/crates/trestle-dispatch/tests/unresolved_requests.rs
@@ -31,9 +31,9 @@
     requests.terminated(incarnation, Evidence::Refused, now_ms)
 }
 
-/// Returns how many requests are blamed for the end of an endpoint, if a connection was lost at 0
-/// and then an answer arrived to a request that was sent at `sent_ms` over a connection that was
-/// opened at `opened_ms`.
+/// Returns how many requests are blamed for the termination of an endpoint if a connection was lost
+/// at 0 and then an answer arrived to a request that was sent at `sent_ms` over a connection that
+/// was opened at `opened_ms`.
 fn blamed_after(incarnation: &Incarnation, sent_ms: u64, opened_ms: u64) -> usize {
     let mut requests = UnresolvedRequests::default();
     requests.connection_lost(incarnation, request(1), 0);
@@ -102,7 +102,7 @@
 
     /// An engine lost a request's connection, stayed alive, and crashed 2.5 s later for another
     /// reason.
-    requests_aborted_before_a_sign_of_life_are_not_blamed => {
+    requests_aborted_before_a_later_answer_are_not_blamed => {
         assert_eq!(blamed_after(&without_start_time(), MAX_CRASH_DELAY_MS, 400), 0);
         assert_eq!(blamed_after(&without_start_time(), MAX_CRASH_DELAY_MS - 1, 400), 1, "the endpoint may still crash");
     }
@@ -114,7 +114,7 @@
         assert_eq!(blamed_after(&with_start_time(), 900, 0), 0);
     }
 
-    another_endpoint_at_the_address_proves_the_end => {
+    another_endpoint_at_the_address_proves_termination => {
         let mut requests = UnresolvedRequests::default();
         requests.sent(&without_start_time(), ADDRESS.into(), request(1));
         assert_eq!(requests.others_at(ADDRESS.into(), &"f".into()), [without_start_time()]);
--- a/crates/trestle-policy/src/report.rs
+++ b/crates/trestle-policy/src/report.rs
@@ -80,12 +80,12 @@
 ///
 /// Returns an error if the file cannot be written.
 pub fn plot(path: &Path, title: &str, rows: &[Row]) -> Result<(), Box<dyn Error>> {
-    let most_idle = rows
+    let max_idle_hours = rows
         .iter()
         .filter(|(policy, _)| *policy != Policy::Fixed { keep_ms: u64::MAX })
         .map(|(_, outcome)| outcome.idle_hours())
         .fold(1.0, f64::max);
-    let most_wait = rows.iter().map(|(_, outcome)| outcome.total_wait_ms).max().unwrap_or(1);
+    let max_wait_ms = rows.iter().map(|(_, outcome)| outcome.total_wait_ms).max().unwrap_or(1);
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -93,18 +93,18 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..most_idle * 1.05, 0.0..most_wait as f64 / 3.6e6 * 1.05)?;
+        .build_cartesian_2d(0.0..max_idle_hours * 1.05, 0.0..max_wait_ms as f64 / 3.6e6 * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("idle accelerator hours")
         .y_desc("hours waited by first requests")
         .draw()?;
-    for (name, color, belongs) in series() {
+    for (name, color, is_in_series) in series() {
         let points = rows
             .iter()
-            .filter(|(policy, _)| belongs(policy))
+            .filter(|(policy, _)| is_in_series(policy))
             .map(|(_, o)| (o.idle_hours(), o.total_wait_ms as f64 / 3.6e6));
-        let points: Vec<(f64, f64)> = points.filter(|(idle, _)| *idle <= most_idle).collect();
+        let points: Vec<(f64, f64)> = points.filter(|(idle, _)| *idle <= max_idle_hours).collect();
         chart
             .draw_series(LineSeries::new(points.clone(), color.stroke_width(2)))?
             .label(name)
@@ -116,9 +116,9 @@
     Ok(())
 }
 
-type Belongs = fn(&Policy) -> bool;
+type SeriesFilter = fn(&Policy) -> bool;
 
-fn series() -> [(&'static str, RGBColor, Belongs); 5] {
+fn series() -> [(&'static str, RGBColor, SeriesFilter); 5] {
     [
         ("fixed keep time", BLUE, |policy| matches!(policy, Policy::Fixed { .. })),
         ("price", GREEN, |policy| matches!(policy, Policy::Price { windows: false, .. })),
