--- a/crates/trestle-client/src/engine.rs
+++ b/crates/trestle-client/src/engine.rs
@@ -24,8 +24,8 @@
 }
 
 impl Engine {
-    /// Sends an order to the engine at a URL and returns its outcome, which is `Unknown` if no valid
-    /// answer arrives in time.
+    /// Sends an order to the engine at a URL and returns its outcome, which is `Unknown` if no
+    /// valid answer arrives in time.
     pub async fn order(&self, url: &str, order: &Order) -> OrderOutcome {
         let url = format!("{url}/orders");
         let body = WireOrder::from(order);
--- a/crates/trestle-client/src/peers.rs
+++ b/crates/trestle-client/src/peers.rs
@@ -104,8 +104,8 @@
         Ok(members.map(MembershipRow::from))
     }
 
-    /// Asks the peer at an address for a configuration newer than the version; returns `None` if the
-    /// peer has none.
+    /// Asks the peer at an address for a configuration newer than the version; returns `None` if
+    /// the peer has none.
     ///
     /// # Errors
     ///
@@ -135,8 +135,8 @@
         connected
     }
 
-    /// Returns the answer of a peer. If there is none, the connection is dropped, so that the next call
-    /// opens a new one.
+    /// Returns the answer of a peer. If there is none, the connection is dropped, so that the next
+    /// call opens a new one.
     fn settle<T>(
         &self,
         address: &str,
--- a/crates/trestle-client/src/platform.rs
+++ b/crates/trestle-client/src/platform.rs
@@ -61,8 +61,8 @@
         self.commit_raw(&CommitRequest::from(txn)).await.0
     }
 
-    /// Commits writes of rows of any kind. Returns the outcome, and the keys of the rows that conflict
-    /// with the request; the outcome is `Unknown` if no valid answer arrives in time.
+    /// Commits writes of rows of any kind. Returns the outcome, and the keys of the rows that
+    /// conflict with the request; the outcome is `Unknown` if no valid answer arrives in time.
     pub async fn commit_raw(&self, request: &CommitRequest) -> (CommitOutcome, Vec<String>) {
         let url = format!("{}/table/commit", self.url);
         let answer = http::post_json(&self.client, &url, request, TIMEOUT_MS).await;
@@ -90,7 +90,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not confirm the write; even then the object may have been written.
+    /// Fails if the platform does not confirm the write; even then the object may have been
+    /// written.
     pub async fn put_object(&self, name: &str, content: &[u8]) -> Result<()> {
         let url = format!("{}/objects/{name}", self.url);
         let conn = self.client.put(url.as_str()).with_body(content.to_vec());
--- a/crates/trestle-config/src/config.rs
+++ b/crates/trestle-config/src/config.rs
@@ -92,8 +92,8 @@
 }
 
 impl Config {
-    /// Returns what the name in a caller's `model` field stands for, a model or an adapter; `None` if
-    /// there is neither.
+    /// Returns what the name in a caller's `model` field stands for, a model or an adapter; `None`
+    /// if there is neither.
     pub fn target(&self, name: &str) -> Option<Target> {
         if let Some(adapter) = self.adapters.get(name) {
             return Some(Target { model: adapter.base.clone(), adapter: Some(name.to_owned()) });
@@ -102,8 +102,8 @@
         Some(Target { model: model.clone(), adapter: None })
     }
 
-    /// Returns the configuration with its version set; `before` is the configuration that was in force
-    /// until now.
+    /// Returns the configuration with its version set; `before` is the configuration that was in
+    /// force until now.
     #[must_use]
     pub fn at_version(mut self, version: u64, before: &Self) -> Self {
         self.catalog = self.catalog.at_version(version, &before.catalog);
--- a/crates/trestle-config/src/entry_settings.rs
+++ b/crates/trestle-config/src/entry_settings.rs
@@ -44,12 +44,12 @@
 #[trestle_macros::wire]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Longest time between an endpoint's announcement that it is draining and the last request to it,
-    /// in milliseconds.
+    /// Longest time between an endpoint's announcement that it is draining and the last request to
+    /// it, in milliseconds.
     #[serde(deserialize_with = "whole::below")]
     pub leaving_ms: u64,
-    /// Longest time between the acceptance of a configuration and its being in force at all daemons, in
-    /// milliseconds.
+    /// Longest time between the acceptance of a configuration and its being in force at all
+    /// daemons, in milliseconds.
     #[serde(deserialize_with = "whole::below")]
     pub config_ms: u64,
     /// Longest time that a planned stop takes, in seconds.
@@ -66,9 +66,9 @@
     /// Retries in a window that are allowed in addition to the ratio.
     #[serde(deserialize_with = "whole::below")]
     pub retry_fixed: u32,
-    /// Longest time between the acceptance of a configuration that removes a team's key and the last
-    /// request that is served with the key, in milliseconds; it also holds at VMs that are disconnected
-    /// from the store. `None` if no bound is agreed on.
+    /// Longest time between the acceptance of a configuration that removes a team's key and the
+    /// last request that is served with the key, in milliseconds; it also holds at VMs that are
+    /// disconnected from the store. `None` if no bound is agreed on.
     #[serde(default, deserialize_with = "whole::below_if_given")]
     pub key_withdrawal_ms: Option<u64>,
     /// Bounds on how far teams may exceed their limits; `None` if none are agreed on.
--- a/crates/trestle-config/src/file.rs
+++ b/crates/trestle-config/src/file.rs
@@ -12,8 +12,8 @@
     pub tenants: BTreeMap<String, TenantEntry>,
     /// Idle accelerator time that one unit of waiting for a cold model is worth.
     ///
-    /// With a larger number, models stay loaded longer without requests: fewer requests wait for a cold
-    /// start, and accelerators are idle for more hours.
+    /// With a larger number, models stay loaded longer without requests: fewer requests wait for a
+    /// cold start, and accelerators are idle for more hours.
     #[serde(default = "default_idle_per_wait")]
     pub idle_per_wait: u64,
     /// Offset of the operators' local time from UTC, in minutes.
@@ -86,8 +86,8 @@
     pub memory_bytes: u64,
     /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// How the engine treats fencing numbers: `checked` if it refuses orders with old ones, `ignored`
-    /// if not.
+    /// How the engine treats fencing numbers: `checked` if it refuses orders with old ones,
+    /// `ignored` if not.
     pub fencing: FencingEntry,
 }
 
--- a/crates/trestle-config/src/read.rs
+++ b/crates/trestle-config/src/read.rs
@@ -41,8 +41,8 @@
 /// Settings of a daemon, of either kind.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SettingsFile {
-    /// Settings of a daemon whose state is on the platform and whose engines have this project's own
-    /// interface.
+    /// Settings of a daemon whose state is on the platform and whose engines have this project's
+    /// own interface.
     Platform(Settings),
     /// Settings of a daemon whose state is in an outside store.
     Entry(EntrySettings),
--- a/crates/trestle-config/src/settings.rs
+++ b/crates/trestle-config/src/settings.rs
@@ -88,8 +88,8 @@
     pub format: LogFormat,
     /// Filter of the messages that are written, such as `info` or `trestled=debug`.
     pub filter: String,
-    /// Maximum number of lines per second, with bursts of twice as many. Further lines are dropped and
-    /// counted.
+    /// Maximum number of lines per second, with bursts of twice as many. Further lines are dropped
+    /// and counted.
     pub lines_per_s: NonZeroU32,
 }
 
--- a/crates/trestle-dispatch/tests/endpoint_limits.rs
+++ b/crates/trestle-dispatch/tests/endpoint_limits.rs
@@ -216,8 +216,8 @@
         self.leads_from_ms = self.now_ms + self.random.u64(..2_000);
     }
 
-    /// Simulates callers that send `per_s` requests a second to all daemons, with faults at the given
-    /// rate.
+    /// Simulates callers that send `per_s` requests a second to all daemons, with faults at the
+    /// given rate.
     fn run(&mut self, length_ms: u64, per_s: f64, faults_per_s: f64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
--- a/crates/trestle-dispatch/tests/orders.rs
+++ b/crates/trestle-dispatch/tests/orders.rs
@@ -55,8 +55,8 @@
     busy_until_ms: u64,
     /// Orders that are carried out later if their count still matches.
     late: Vec<(u64, Order, u64)>,
-    /// Time until which requests use the adapters; an adapter that is ordered to be unloaded earlier
-    /// is unloaded then.
+    /// Time until which requests use the adapters; an adapter that is ordered to be unloaded
+    /// earlier is unloaded then.
     used_until_ms: u64,
     unloading: Vec<(ModelName, AdapterName)>,
     max_mb: u64,
--- a/crates/trestle-entry/src/control/group_lease.rs
+++ b/crates/trestle-entry/src/control/group_lease.rs
@@ -63,7 +63,8 @@
         self.lease.set_quiet_ms(quiet_ms);
     }
 
-    /// Sets the number of daemons that query this one, which the next holder reads from the row.
+    /// Sets the number of daemons that sync with this one, which the next holder reads from the
+    /// row.
     pub(crate) fn set_daemons(&mut self, daemons: u32) {
         self.lease.set_daemons(daemons);
     }
--- a/crates/trestle-entry/src/control/held_answers.rs
+++ b/crates/trestle-entry/src/control/held_answers.rs
@@ -1,11 +1,11 @@
 //! Sync answers that are held until there is something new to report.
 //!
 //! Answers are held because of a load in which callers wait for a model that is being loaded, while
-//! sixty daemons query one leader. When each daemon polled every 180 ms, it learned of the model's
-//! arrival 90 ms late on average, and twice as late where another leader loaded the model; callers
-//! expect a first token within 500 ms. So a request about demand that was answered before is held until one
-//! of the requested models has arrived. A request with new demand is held until every leader that
-//! serves this demand has planned with it.
+//! sixty daemons sync with one leader. When each daemon polled every 180 ms, it learned of the
+//! model's arrival 90 ms late on average, and twice as late where another leader loaded the model;
+//! callers expect a first token within 500 ms. So a request about demand that was answered before
+//! is held until one of the requested models has arrived. A request with new demand is held until
+//! every leader that serves this demand has planned with it.
 
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/trestle-entry/src/control/leases.rs
+++ b/crates/trestle-entry/src/control/leases.rs
@@ -28,7 +28,7 @@
 const READ_GAP_MS: u64 = 800;
 /// Shortest time between two reads of other groups' rows at a daemon that leads no group. Each row
 /// is a separate call, and each of sixty daemons that have lost their leader needs the rows once,
-/// to query another leader.
+/// to sync with another leader.
 const OTHERS_READ_GAP_MS: u64 = 5_000;
 
 /// The leases of all groups of engines.
@@ -38,7 +38,7 @@
     incarnation: u64,
     domain: DomainName,
     groups: Groups,
-    /// The group whose leader this daemon queries, and since when.
+    /// The group whose leader this daemon syncs with, and since when.
     home_group: Option<(DomainName, u64)>,
     by_group: BTreeMap<DomainName, GroupLease>,
     decision_leaders: DecisionLeaders,
@@ -85,7 +85,7 @@
         self.by_group.values_mut().for_each(|lease| lease.set_quiet_ms(quiet_ms));
     }
 
-    /// Sets how many daemons query this one.
+    /// Sets how many daemons sync with this one.
     pub(crate) fn set_daemons(&mut self, daemons: usize, now_ms: u64) {
         let led = self.led(now_ms);
         let per_group = daemons.div_ceil(led.len().max(1)) as u32;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns how many daemons queried the last holders of some groups, as counted by these
+    /// Returns how many daemons synced with the last holders of some groups, as counted by these
     /// holders.
     pub(crate) fn daemons_of<'a>(&self, groups: impl Iterator<Item = &'a DomainName>) -> usize {
         let rows = groups.filter_map(|group| self.by_group.get(group)?.seen_row());
@@ -281,7 +281,7 @@
             self.is_acting = is_acting;
             self.daemon.freshness.set_leader(is_acting);
             if is_acting {
-                // A leader queries the other leaders, and acquires groups that have no leader.
+                // A leader syncs with the other leaders, and acquires groups that have no leader.
                 let unread = self.by_group.iter();
                 let unread = unread.filter(|(_, lease)| lease.seen_row().is_none());
                 self.to_read.extend(unread.map(|(group, _)| group.clone()));
@@ -338,7 +338,7 @@
         each.collect()
     }
 
-    /// Returns the leader that this daemon should query after `attempt` consecutive leaders did
+    /// Returns the leader that this daemon should sync with after `attempt` consecutive leaders did
     /// not answer.
     ///
     /// The leader of its own group comes first. If that one does not answer, any other leader
--- a/crates/trestle-entry/src/control/message.rs
+++ b/crates/trestle-entry/src/control/message.rs
@@ -51,7 +51,7 @@
     },
     /// A leader does not answer.
     LeaderUnresponsive,
-    /// Asks which leader this daemon should query.
+    /// Asks which leader this daemon should sync with.
     LeaderToQuery {
         /// Number of consecutive leaders that did not answer; each selects the next leader.
         attempt: usize,
--- a/crates/trestle-entry/src/control/other_leaders.rs
+++ b/crates/trestle-entry/src/control/other_leaders.rs
@@ -131,7 +131,7 @@
         views.flat_map(|exchange| exchange.view.engines.iter()).collect()
     }
 
-    /// Returns how many daemons query the other leaders. For a leader that has not reported its
+    /// Returns how many daemons sync with the other leaders. For a leader that has not reported its
     /// number, `of_row` returns it from the lease rows of its groups.
     pub(crate) fn members(&self, of_row: impl Fn(&BTreeSet<DomainName>) -> usize) -> usize {
         let each = self.by_address.values().map(|other| match other.members {
--- a/crates/trestle-entry/src/crashes.rs
+++ b/crates/trestle-entry/src/crashes.rs
@@ -19,7 +19,7 @@
 /// Most rejected requests in a lease row, some 200 bytes each; the row is written every 0.6 s.
 const MAX_IN_ROW: usize = 24;
 
-/// The state of the exchange between this daemon and a leader that it queries.
+/// The state of the exchange between this daemon and a leader that it syncs with.
 #[derive(Debug, Default)]
 pub(crate) struct CrashReportExchange {
     /// The last local change that the leader has acknowledged.
--- a/crates/trestle-entry/src/peer/calls.rs
+++ b/crates/trestle-entry/src/peer/calls.rs
@@ -80,7 +80,8 @@
     None
 }
 
-/// Returns the leader that this daemon queries after `attempt` consecutive leaders did not answer.
+/// Returns the leader that this daemon syncs with after `attempt` consecutive leaders did not
+/// answer.
 pub(crate) async fn leader(daemon: &Daemon, attempt: usize) -> Leader {
     let leader = daemon.query(|reply| Message::LeaderToQuery { attempt, reply }).await;
     leader.unwrap_or(Leader::Nobody)
--- a/crates/trestle-entry/src/peer/sync.rs
+++ b/crates/trestle-entry/src/peer/sync.rs
@@ -24,10 +24,10 @@
 /// Time for which the leader's last report is used after it stopped answering. The list of
 /// endpoints has caught up by then.
 const MAX_VIEW_AGE_MS: u64 = 3_000;
-/// Time after which a daemon that queries another group's leader tries its own leader again.
+/// Time after which a daemon that syncs with another group's leader tries its own leader again.
 const RETRY_OWN_MS: u64 = 2_000;
 
-/// The state of the exchange between this daemon and the leaders that it queries.
+/// The state of the exchange between this daemon and the leaders that it syncs with.
 #[derive(Debug, Default)]
 struct LeaderExchange {
     client: LeaderClient,
@@ -35,8 +35,8 @@
     informed: Option<(DomainName, u64)>,
     /// Number of consecutive leaders that did not answer.
     attempt: usize,
-    /// Since when another group's leader has been queried; `None` while this daemon queries its
-    /// own.
+    /// Since when this daemon has synced with another group's leader; `None` while it syncs with
+    /// its own.
     substitute_since_ms: Option<u64>,
     /// Exchanges about requests under which endpoints crashed, by group and its last leader's
     /// fencing number. The exchange continues with a leader that has stepped down.
@@ -258,8 +258,7 @@
 
 /// Applies the changes of the store that the leader relays. The configuration is applied whatever
 /// its age, the list of endpoints only if the relay is fresh enough; a fresh relay also makes it
-/// unnecessary to follow the store for a time. The age in an answer refers to the time at which the
-/// answer was made, which was after the request.
+/// unnecessary to follow the store for a time.
 fn apply_relay(daemon: &Daemon, relay: WireRelay, requested_ms: u64) {
     departures::receive_wire(daemon, relay.departures);
     let is_applied =
--- a/crates/trestle-entry/src/trial.rs
+++ b/crates/trestle-entry/src/trial.rs
@@ -144,7 +144,7 @@
 }
 
 /// Decides on an attempt, or asks the leader that does. For each request one leader decides,
-/// whichever leader the receiving daemon queries.
+/// whichever leader the receiving daemon syncs with.
 pub(crate) async fn decide(daemon: &Daemon, mut trial: WireTrial) -> WireTrialAnswer {
     let request = Fingerprint::from_bytes(trial.request);
     let (leader, since_ms) = calls::decision_leader(daemon, request.to_string()).await;
--- a/crates/trestle-wire/src/admin.rs
+++ b/crates/trestle-wire/src/admin.rs
@@ -36,8 +36,8 @@
     pub confirmed: bool,
     /// Whether the endpoint has stopped answering.
     pub silent: bool,
-    /// Models placed at the endpoint: `active`, or `retiring` with the epoch and the VMs that it waits
-    /// for.
+    /// Models placed at the endpoint: `active`, or `retiring` with the epoch and the VMs that it
+    /// waits for.
     pub placed: BTreeMap<String, String>,
     /// Models that occupy memory at the endpoint, with their phases.
     pub held: BTreeMap<String, String>,
--- a/crates/trestle-wire/src/departures.rs
+++ b/crates/trestle-wire/src/departures.rs
@@ -11,7 +11,8 @@
     pub born_ms: u64,
     /// Whether the endpoint has announced that it is draining.
     pub has_left: bool,
-    /// Number of the endpoint's last message; `None` while its entry in the list of endpoints exists.
+    /// Number of the endpoint's last message; `None` while its entry in the list of endpoints
+    /// exists.
     pub last_number: Option<u64>,
 }
 
--- a/crates/trestle-wire/src/peer.rs
+++ b/crates/trestle-wire/src/peer.rs
@@ -14,8 +14,8 @@
     async fn owns(endpoint: String) -> bool;
     /// Reports that the owner of the endpoint has changed the endpoint's row.
     async fn row_changed(endpoint: String);
-    /// Returns the members of the peer's own failure domain as the peer has read them; `None` if it has
-    /// not.
+    /// Returns the members of the peer's own failure domain as the peer has read them; `None` if it
+    /// has not.
     async fn members() -> Option<WireMembership>;
     /// Returns the configuration file in force; `None` if it is not newer than the version.
     async fn config_after(version: u64) -> Option<WireConfig>;
@@ -53,8 +53,8 @@
 }
 
 impl WirePermitRequest {
-    /// Returns the permit request in the form that the owner handles; `now_ms` is the time of receipt
-    /// on the owner's clock.
+    /// Returns the permit request in the form that the owner handles; `now_ms` is the time of
+    /// receipt on the owner's clock.
     pub fn into_permit_request(self, ticket: Ticket, now_ms: u64) -> PermitRequest {
         PermitRequest {
             ticket,
--- a/crates/trestle-wire/src/relay.rs
+++ b/crates/trestle-wire/src/relay.rs
@@ -17,7 +17,8 @@
     pub endpoints: u64,
     /// Version of the configuration in force at the daemon; 0 if none is.
     pub config: u64,
-    /// Number of the last change of restricted requests that the daemon has received from this leader.
+    /// Number of the last change of restricted requests that the daemon has received from this
+    /// leader.
     pub refused: u64,
     /// Whether the daemon has received the departures of endpoints from this leader.
     pub departures: bool,
@@ -30,16 +31,16 @@
 pub struct WireRelay {
     /// Changes of the list of endpoints.
     pub endpoints: WireListUpdate,
-    /// Endpoints that are draining or gone; empty unless the daemon queries this leader for the first
-    /// time.
+    /// Endpoints that are draining or gone; empty unless the daemon syncs with this leader for the
+    /// first time.
     pub departures: Vec<WireDeparture>,
     /// Configuration; `None` if the daemon has the newest.
     pub config: Option<WireConfigUpdate>,
     /// Time since the store last answered the sender about both the list and the configuration, in
     /// milliseconds.
     pub age_ms: u64,
-    /// Time since the sender sent the query whose answer proved its configuration to be the newest, in
-    /// milliseconds; `None` if the configuration has no teams, whose keys depend on this proof.
+    /// Time since the sender sent the query whose answer proved its configuration to be the newest,
+    /// in milliseconds; `None` if the configuration has no teams, whose keys depend on this proof.
     pub config_age_ms: Option<u64>,
 }
 
@@ -98,7 +99,8 @@
     pub slots: u32,
     /// Whether the endpoint is draining.
     pub is_leaving: bool,
-    /// Number of the endpoint's message that reported this entry; later messages have higher numbers.
+    /// Number of the endpoint's message that reported this entry; later messages have higher
+    /// numbers.
     pub entry_number: u64,
 }
 
--- a/crates/trestle-wire/src/replicas.rs
+++ b/crates/trestle-wire/src/replicas.rs
@@ -41,7 +41,7 @@
 pub struct WireSyncRequest {
     /// VM of the daemon.
     pub vm: String,
-    /// Group whose leader is queried.
+    /// Group whose leader the daemon syncs with.
     pub group: String,
     /// Whether the daemon reports as the leader of other groups, for the daemons that sync with it.
     pub is_leader: bool,
@@ -59,8 +59,8 @@
 #[trestle_macros::wire]
 #[derive(Default)]
 pub struct WireSyncResponse {
-    /// Leases as the answering daemon last knew them: those that it holds, and that of the requested
-    /// group.
+    /// Leases as the answering daemon last knew them: those that it holds, and that of the
+    /// requested group.
     pub leases: Vec<WireGroupLease>,
     /// Whether the answering daemon leads.
     pub is_leader: bool,
@@ -74,8 +74,8 @@
     pub views: BTreeMap<String, WireServiceView>,
     /// Restricted requests; `None` if the requesting daemon knows all of them.
     pub refused: Option<WireRestrictedRequests>,
-    /// Changes of the store that the requesting daemon lacks; `None` for a leader, which follows the
-    /// store itself, and if the answering daemon does not lead.
+    /// Changes of the store that the requesting daemon lacks; `None` for a leader, which follows
+    /// the store itself, and if the answering daemon does not lead.
     pub relay: Option<WireRelay>,
 }
 
@@ -97,7 +97,8 @@
     pub token: u64,
     /// Time for which no daemon may send any order, in milliseconds.
     pub quiet_for_ms: u64,
-    /// Time after which the former leader's orders have no effect anywhere any more, in milliseconds.
+    /// Time after which the former leader's orders have no effect anywhere any more, in
+    /// milliseconds.
     pub settled_for_ms: u64,
     /// Time for which each engine must get no order, in milliseconds.
     pub engines: BTreeMap<String, u64>,
@@ -143,9 +144,9 @@
     pub number: u64,
     /// Number of requests that arrived since the last report, by model.
     pub arrivals: Vec<(String, u32)>,
-    /// Arrivals until now, for a leader that does not know them: the model, the weight of its arrivals
-    /// in thousandths, and the time since the last one in milliseconds. `None` if the leader knows
-    /// them.
+    /// Arrivals until now, for a leader that does not know them: the model, the weight of its
+    /// arrivals in thousandths, and the time since the last one in milliseconds. `None` if the
+    /// leader knows them.
     pub past: Option<Vec<(String, u32, u64)>>,
     /// Requests that wait for a model or an adapter.
     pub waiting: Vec<WireWaiting>,
@@ -256,8 +257,8 @@
 }
 
 impl WireDemandReport {
-    /// Creates the wire form of a demand report. `log` is the random number that identifies a placement
-    /// log, and `number` returns the number that stands for a name in it.
+    /// Creates the wire form of a demand report. `log` is the random number that identifies a
+    /// placement log, and `number` returns the number that stands for a name in it.
     pub fn new(
         service: &ServiceName,
         report: DemandReport,
@@ -292,8 +293,8 @@
     }
 
     /// Returns the service and the demand report; `name` returns the name that a number stands for.
-    /// Entries whose numbers have no name are left out: the sender received the numbers from another
-    /// leader, and reports the entries again next time.
+    /// Entries whose numbers have no name are left out: the sender received the numbers from
+    /// another leader, and reports the entries again next time.
     pub fn into_report(
         self,
         name: impl Fn(u32) -> Option<Arc<str>>,
@@ -355,8 +356,8 @@
 }
 
 impl WireServiceView {
-    /// Returns the view of the service; `placements` is the requesting daemon's copy of the leader's
-    /// placement log.
+    /// Returns the view of the service; `placements` is the requesting daemon's copy of the
+    /// leader's placement log.
     pub fn into_view(self, placements: &PlacementMirror) -> ReplicaView {
         let engines = placements.engines().zip(self.running.iter().chain(iter::repeat(&0)));
         let engines = engines.map(|((name, holds), running)| {
--- a/crates/trestle-wire/src/send_permits.rs
+++ b/crates/trestle-wire/src/send_permits.rs
@@ -7,7 +7,8 @@
 pub struct WireSendPermitRequest {
     /// Name of the endpoint.
     pub endpoint: String,
-    /// Time at which this incarnation of the endpoint started, in Unix milliseconds on its own clock.
+    /// Time at which this incarnation of the endpoint started, in Unix milliseconds on its own
+    /// clock.
     pub born_ms: u64,
     /// Group that the endpoint belongs to.
     pub group: String,
@@ -19,7 +20,8 @@
     pub silent: u32,
     /// Time since the last answer without a limit, in milliseconds.
     pub silent_ago_ms: u64,
-    /// Whether the leader of another group forwards this request, so that it is not forwarded again.
+    /// Whether the leader of another group forwards this request, so that it is not forwarded
+    /// again.
     pub is_passed_on: bool,
 }
 
